--- a/src/batches/internal/resulttexts.cpp
+++ b/src/batches/internal/resulttexts.cpp
@@ -69,7 +69,7 @@
   this->plan =
       this->blobs.PlanAppend(static_cast<std::uint32_t>(bytes->size()));
   return [&files = this->files, plan = this->plan, bytes] {
-    storage::BlobStore::CarryOut(files, plan, *bytes);
+    storage::BlobStore::WriteAppend(files, plan, *bytes);
   };
 }
 
@@ -77,7 +77,7 @@
   if (this->plan.ref.length == 0) {
     return;
   }
-  this->blobs.TakeOver(this->plan);
+  this->blobs.CommitAppend(this->plan);
   this->files_end = this->blobs.length();
   this->recent.erase(this->recent.begin(),
                      this->recent.lower_bound(this->files_end));
@@ -110,10 +110,10 @@
   }
   if (this->files_end < end) {
     const std::string_view missing = bytes.substr(this->files_end - first);
-    const storage::BlobPlan append =
+    const storage::AppendPlan append =
         this->blobs.PlanAppend(static_cast<std::uint32_t>(missing.size()));
-    storage::BlobStore::CarryOut(this->files, append, missing);
-    this->blobs.TakeOver(append);
+    storage::BlobStore::WriteAppend(this->files, append, missing);
+    this->blobs.CommitAppend(append);
     this->files_end = end;
   }
 }
--- a/src/batches/resulttexts.h
+++ b/src/batches/resulttexts.h
@@ -63,7 +63,7 @@
   std::map<std::uint64_t, std::string> recent;  ///< By offset.
   std::uint64_t files_end = 0;
   std::uint64_t total = 0;
-  storage::BlobPlan plan;  ///< Of the move under way; empty length: none.
+  storage::AppendPlan plan;  ///< Of the move under way; empty length: none.
 };
 
 }  // namespace papayarack::batches
--- a/src/control/controlclient.h
+++ b/src/control/controlclient.h
@@ -28,8 +28,8 @@
                                  std::chrono::milliseconds timeout);
   statemachine::CommandReply Ask(const Query& query,
                                  std::chrono::milliseconds timeout);
-  statemachine::CommandReply Beat(const Heartbeat& heartbeat,
-                                  std::chrono::milliseconds timeout);
+  statemachine::CommandReply SendHeartbeat(const Heartbeat& heartbeat,
+                                           std::chrono::milliseconds timeout);
   statemachine::CommandReply Change(const MembersChange& change,
                                     std::chrono::milliseconds timeout);
 
--- a/src/control/controlprotocol.h
+++ b/src/control/controlprotocol.h
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "consensus/raftmessages.h"
-#include "documents/documentbook.h"
+#include "documents/documentstore.h"
 #include "fleet/fleettable.h"
-#include "jobs/jobbook.h"
+#include "jobs/jobstore.h"
 #include "statemachine/commands.h"
 
 namespace papayarack::control {
--- a/src/control/internal/controlclient.cpp
+++ b/src/control/internal/controlclient.cpp
@@ -89,7 +89,7 @@
   return this->Send(path::kQuery, EncodeVariant(query), timeout);
 }
 
-statemachine::CommandReply ControlClient::Beat(
+statemachine::CommandReply ControlClient::SendHeartbeat(
     const Heartbeat& heartbeat, std::chrono::milliseconds timeout) {
   return this->Send(path::kHeartbeat, EncodeMessage(heartbeat), timeout);
 }
--- a/src/control/internal/controlserver.cpp
+++ b/src/control/internal/controlserver.cpp
@@ -306,12 +306,12 @@
     this->fleet.Heard(heartbeat.report, now);
     this->fleet.Refresh(now);
     HeartbeatReply body;
-    const documents::DocumentBook& book = this->group->state().documents();
+    const documents::DocumentStore& book = this->group->state().documents();
     body.documents = {book.revision(),
                       book.ChangesSince(heartbeat.report.revision)};
     body.fleet_version = this->FleetVersion();
     body.has_batch_work =
-        this->group->state().jobs().HasWork(heartbeat.report.service);
+        this->group->state().jobs().HasOpenJobs(heartbeat.report.service);
     body.fleet_settled = now - this->leader_since >
                          this->settings.heartbeat * kHeartbeatsUntilDead;
     // Sides need no list: sent to each, it would grow with the square of
--- a/src/control/internal/groupmember.cpp
+++ b/src/control/internal/groupmember.cpp
@@ -29,7 +29,7 @@
                         },
                         [wall](CancelJob& body) { body.now_ms = wall; },
                         [wall](PullItems& body) { body.lease.now_ms = wall; },
-                        [wall](PassTime& body) { body.now_ms = wall; },
+                        [wall](AdvanceTime& body) { body.now_ms = wall; },
                         [wall](MakeClaim& body) {
                           body.request.deadline_ms +=
                               wall - body.request.now_ms;
@@ -91,12 +91,12 @@
     return;
   }
   this->core->Tick(now);
-  const bool due = this->machine.NeedsPassTime(wall) ||
+  const bool due = this->machine.NeedsAdvanceTime(wall) ||
                    wall - this->last_pass_time > kPassTimeEveryMs;
   if (this->core->LeaderReady() && due && !this->pass_time_under_way) {
     this->pass_time_under_way = true;
     this->last_pass_time = wall;
-    this->Propose(kNobody, statemachine::PassTime{}, wall);
+    this->Propose(kNobody, statemachine::AdvanceTime{}, wall);
   }
   this->MaybePromoteLearner();
   this->Pump();
@@ -151,7 +151,7 @@
     return false;
   }
   const bool idle = pull->outcomes.empty() && pull->lease.holding.empty() &&
-                    !this->machine.jobs().HasWork(pull->lease.service);
+                    !this->machine.jobs().HasOpenJobs(pull->lease.service);
   if (!idle || this->machine.jobs().LeaseCount() > 0) {
     return false;
   }
--- a/src/control/tests/control_tests.cpp
+++ b/src/control/tests/control_tests.cpp
@@ -122,7 +122,7 @@
     Heartbeat heartbeat;
     heartbeat.report.name = "side-1";
     heartbeat.report.role = "entry";
-    const auto reply = control.Beat(heartbeat, kPatience);
+    const auto reply = control.SendHeartbeat(heartbeat, kPatience);
     const auto body = DecodeMessage<HeartbeatReply>(reply.body);
     CHECK(body.documents.revision == 1);
     CHECK(body.documents.changes.size() == 1);
--- a/src/documents/documentbook.h
+++ b/src/documents/documentstore.h
@@ -1,5 +1,5 @@
-#ifndef PAPAYARACK_DOCUMENTS_DOCUMENTBOOK_H_
-#define PAPAYARACK_DOCUMENTS_DOCUMENTBOOK_H_
+#ifndef PAPAYARACK_DOCUMENTS_DOCUMENTSTORE_H_
+#define PAPAYARACK_DOCUMENTS_DOCUMENTSTORE_H_
 
 #include <cstdint>
 #include <map>
@@ -38,7 +38,7 @@
 /// follows n; the same version with the same content gets the first answer
 /// again; anything else is a conflict. Deterministic: the same calls in the
 /// same order give the same state. Thread safety: none.
-class DocumentBook {
+class DocumentStore {
  public:
   /// Precondition: `text` is canonical and its service and version are those
   /// given.
@@ -78,4 +78,4 @@
 
 }  // namespace papayarack::documents
 
-#endif  // PAPAYARACK_DOCUMENTS_DOCUMENTBOOK_H_
+#endif  // PAPAYARACK_DOCUMENTS_DOCUMENTSTORE_H_
--- a/src/documents/internal/documentbook.cpp
+++ b/src/documents/internal/documentstore.cpp
@@ -1,4 +1,4 @@
-#include "documents/documentbook.h"
+#include "documents/documentstore.h"
 
 #include <algorithm>
 
@@ -6,9 +6,9 @@
 
 namespace papayarack::documents {
 
-SubmitOutcome DocumentBook::Submit(std::string_view service,
-                                   std::uint64_t version,
-                                   std::string_view text) {
+SubmitOutcome DocumentStore::Submit(std::string_view service,
+                                    std::uint64_t version,
+                                    std::string_view text) {
   SubmitOutcome outcome;
   const std::string hash = Sha256Hex(text);
   auto found = this->services.find(service);
@@ -45,12 +45,13 @@
   return outcome;
 }
 
-const AcceptedDocument* DocumentBook::Find(std::string_view service) const {
+const AcceptedDocument* DocumentStore::Find(std::string_view service) const {
   const auto found = this->services.find(service);
   return found != this->services.end() ? &found->second.current : nullptr;
 }
 
-std::vector<AcceptedDocument> DocumentBook::ChangesSince(Revision since) const {
+std::vector<AcceptedDocument> DocumentStore::ChangesSince(
+    Revision since) const {
   std::vector<AcceptedDocument> changes;
   for (const auto& [name, service] : this->services) {
     if (service.current.revision > since) {
@@ -61,7 +62,7 @@
   return changes;
 }
 
-std::vector<std::string> DocumentBook::Services() const {
+std::vector<std::string> DocumentStore::Services() const {
   std::vector<std::string> names;
   for (const auto& [name, service] : this->services) {
     names.push_back(name);
@@ -69,7 +70,7 @@
   return names;
 }
 
-std::string DocumentBook::Save() const {
+std::string DocumentStore::Save() const {
   msgpack::sbuffer buffer;
   msgpack::packer packer(buffer);
   packer.pack_array(2);
@@ -82,7 +83,7 @@
   return {buffer.data(), buffer.size()};
 }
 
-void DocumentBook::Load(std::string_view bytes) {
+void DocumentStore::Load(std::string_view bytes) {
   using Saved = msgpack::type::tuple<Revision, std::map<std::string, Service>>;
   const auto saved = DecodeMessage<Saved>(bytes);
   this->last_revision = saved.get<0>();
--- a/src/documents/tests/documents_tests.cpp
+++ b/src/documents/tests/documents_tests.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "documents/documentbook.h"
+#include "documents/documentstore.h"
 #include "documents/servicedocument.h"
 
 namespace papayarack::documents {
@@ -48,7 +48,7 @@
 }
 
 TEST_CASE("two operators and one service") {
-  DocumentBook book;
+  DocumentStore book;
   REQUIRE(book.Submit("counter", 1, "first").revision == 1);
 
   SECTION("the next version comes into force") {
@@ -96,7 +96,7 @@
   }
   SECTION("a snapshot keeps all of it") {
     book.Submit("counter", 2, "second");
-    DocumentBook copy;
+    DocumentStore copy;
     copy.Load(book.Save());
     CHECK(copy.revision() == 2);
     CHECK(copy.Submit("counter", 1, "first").revision == 1);
--- a/src/entry/internal/entryserver.cpp
+++ b/src/entry/internal/entryserver.cpp
@@ -131,7 +131,8 @@
         heartbeat.report.revision = this->fleet.Revision();
         heartbeat.report.leaving = this->leaving;
         heartbeat.fleet_version = fleet_version;
-        const auto reply = this->control.Beat(heartbeat, kControlTimeout);
+        const auto reply =
+            this->control.SendHeartbeat(heartbeat, kControlTimeout);
         control::RequireOk(reply);
         const auto body = DecodeMessage<control::HeartbeatReply>(reply.body);
         this->fleet.TakeDocuments(body.documents);
--- a/src/gate/internal/gateserver.cpp
+++ b/src/gate/internal/gateserver.cpp
@@ -715,7 +715,8 @@
           const std::lock_guard lock(this->report_mutex);
           heartbeat.report = this->report;
         }
-        const auto reply = this->control.Beat(heartbeat, kControlTimeout);
+        const auto reply =
+            this->control.SendHeartbeat(heartbeat, kControlTimeout);
         control::RequireOk(reply);
         auto body = DecodeMessage<control::HeartbeatReply>(reply.body);
         this->last_control = MonotonicNow();
--- a/src/jobs/filebook.h
+++ b/src/jobs/filestore.h
@@ -1,5 +1,5 @@
-#ifndef PAPAYARACK_JOBS_FILEBOOK_H_
-#define PAPAYARACK_JOBS_FILEBOOK_H_
+#ifndef PAPAYARACK_JOBS_FILESTORE_H_
+#define PAPAYARACK_JOBS_FILESTORE_H_
 
 #include <cstdint>
 #include <map>
@@ -33,9 +33,9 @@
 /// Input files, written chunk by chunk through the log. Each chunk holds whole
 /// lines, so that no item spans two extents. Deterministic. Thread safety:
 /// none.
-class FileBook {
+class FileStore {
  public:
-  explicit FileBook(storage::BlobStore& blobs) : blobs(blobs) {}
+  explicit FileStore(storage::BlobStore& blobs) : blobs(blobs) {}
 
   /// Adds a chunk. A chunk that is there already is accepted and not stored
   /// again; one that leaves a gap throws ResultError(kBadInput).
@@ -54,7 +54,7 @@
   }
   /// Smallest blob offset that a file still needs; `none` when there is no
   /// file.
-  std::uint64_t FirstNeeded(std::uint64_t none) const;
+  std::uint64_t FirstNeededOffset(std::uint64_t none) const;
   const std::map<std::string, StoredFile>& all() const { return this->files; }
   void Load(std::map<std::string, StoredFile> saved) {
     this->files = std::move(saved);
@@ -67,4 +67,4 @@
 
 }  // namespace papayarack::jobs
 
-#endif  // PAPAYARACK_JOBS_FILEBOOK_H_
+#endif  // PAPAYARACK_JOBS_FILESTORE_H_
--- a/src/jobs/internal/filebook.cpp
+++ b/src/jobs/internal/filestore.cpp
@@ -1,4 +1,4 @@
-#include "jobs/filebook.h"
+#include "jobs/filestore.h"
 
 #include <algorithm>
 
@@ -6,9 +6,9 @@
 
 namespace papayarack::jobs {
 
-void FileBook::Append(const std::string& id, const std::string& owner,
-                      std::uint64_t at, std::string_view bytes, bool last,
-                      std::int64_t now_ms) {
+void FileStore::Append(const std::string& id, const std::string& owner,
+                       std::uint64_t at, std::string_view bytes, bool last,
+                       std::int64_t now_ms) {
   StoredFile& file = this->files[id];
   if (file.bytes == 0 && file.extents.empty()) {
     file.owner = owner;
@@ -25,13 +25,13 @@
   file.complete = file.complete || (last && at + bytes.size() == file.bytes);
 }
 
-const StoredFile* FileBook::Find(const std::string& id) const {
+const StoredFile* FileStore::Find(const std::string& id) const {
   const auto found = this->files.find(id);
   return found != this->files.end() ? &found->second : nullptr;
 }
 
-std::string FileBook::Read(const StoredFile& file, std::uint64_t at,
-                           std::size_t length) const {
+std::string FileStore::Read(const StoredFile& file, std::uint64_t at,
+                            std::size_t length) const {
   std::string bytes;
   std::uint64_t start = 0;
   for (const Extent& extent : file.extents) {
@@ -48,7 +48,7 @@
   return bytes;
 }
 
-std::uint64_t FileBook::FirstNeeded(std::uint64_t none) const {
+std::uint64_t FileStore::FirstNeededOffset(std::uint64_t none) const {
   std::uint64_t first = none;
   for (const auto& [id, file] : this->files) {
     if (!file.extents.empty()) {
--- a/src/jobs/internal/jobleasing.cpp
+++ b/src/jobs/internal/jobleasing.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 
 #include "jobs/itemline.h"
-#include "jobs/jobbook.h"
+#include "jobs/jobstore.h"
 
 namespace papayarack::jobs {
 namespace {
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-std::vector<LeasedItem> JobBook::Lease(const LeaseRequest& request) {
+std::vector<LeasedItem> JobStore::Lease(const LeaseRequest& request) {
   this->TakeBackUnlisted(request);
   std::vector<LeasedItem> granted;
   bool has_suspect = this->HolderHasSuspect(request.holder);
@@ -43,8 +43,8 @@
   return granted;
 }
 
-JobBook::Job* JobBook::PickJob(std::string_view service,
-                               bool holder_has_suspect, std::uint64_t picks) {
+JobStore::Job* JobStore::PickJob(std::string_view service,
+                                 bool holder_has_suspect, std::uint64_t picks) {
   const auto open = this->open_jobs.find(service);
   if (open == this->open_jobs.end()) {
     return nullptr;
@@ -71,8 +71,8 @@
 /// takes the item. Symptom guarded against: one item that kills its upstream
 /// takes down gate after gate. An item whose earlier attempt ended without a
 /// word goes only to a holder without another such item.
-std::optional<std::uint32_t> JobBook::PickItem(Job& job,
-                                               bool holder_has_suspect) {
+std::optional<std::uint32_t> JobStore::PickItem(Job& job,
+                                                bool holder_has_suspect) {
   const auto pending = static_cast<std::uint8_t>(ItemState::kPending);
   while (job.next_fresh < job.summary.items &&
          job.items.state[job.next_fresh] != pending) {
@@ -98,13 +98,13 @@
   return std::nullopt;
 }
 
-bool JobBook::HolderHasSuspect(std::string_view holder) const {
+bool JobStore::HolderHasSuspect(std::string_view holder) const {
   return std::ranges::any_of(this->leases, [holder](const auto& entry) {
     return entry.second.suspect && entry.second.holder == holder;
   });
 }
 
-void JobBook::TakeBackUnlisted(const LeaseRequest& request) {
+void JobStore::TakeBackUnlisted(const LeaseRequest& request) {
   std::vector<ItemKey> lost;
   for (auto& [key, lease] : this->leases) {
     if (lease.holder != request.holder) {
@@ -136,7 +136,7 @@
   }
 }
 
-void JobBook::EndLease(const ItemKey& key) {
+void JobStore::EndLease(const ItemKey& key) {
   const auto lease = this->leases.find(key);
   if (lease == this->leases.end()) {
     return;
@@ -146,18 +146,18 @@
   this->jobs.at(key.job).summary.leased -= 1;
 }
 
-void JobBook::TakeBackAttempt(Job& job, std::uint32_t item) {
+void JobStore::TakeBackAttempt(Job& job, std::uint32_t item) {
   job.items.attempts[item] -= 1;
   job.summary.attempts -= 1;
 }
 
-void JobBook::RunAgain(Job& job, std::uint32_t item) {
+void JobStore::RunAgain(Job& job, std::uint32_t item) {
   job.items.state[item] = static_cast<std::uint8_t>(ItemState::kPending);
   job.again.push_back(item);
 }
 
-void JobBook::AttemptLost(const ItemKey& key, std::string_view reason,
-                          std::int64_t now_ms) {
+void JobStore::AttemptLost(const ItemKey& key, std::string_view reason,
+                           std::int64_t now_ms) {
   Job& job = this->jobs.at(key.job);
   this->EndLease(key);
   const JobRequest& request = job.summary.request;
@@ -175,11 +175,11 @@
   this->FinishItem(job, key.item, ItemState::kFailed, line, now_ms);
 }
 
-bool JobBook::HasExpired(std::int64_t now_ms) const {
+bool JobStore::HasExpired(std::int64_t now_ms) const {
   return !this->expiries.empty() && this->expiries.begin()->first <= now_ms;
 }
 
-void JobBook::ExpireLeases(std::int64_t now_ms) {
+void JobStore::ExpireLeases(std::int64_t now_ms) {
   while (this->HasExpired(now_ms)) {
     const ItemKey key = this->expiries.begin()->second;
     this->AttemptLost(
--- a/src/jobs/internal/jobsnapshot.cpp
+++ b/src/jobs/internal/jobsnapshot.cpp
@@ -1,17 +1,17 @@
-#include "jobs/jobbook.h"
+#include "jobs/jobstore.h"
 
 namespace papayarack::jobs {
 
-/// The state of a JobBook as bytes. What can be derived is left out.
-struct JobBookSnapshot {
-  std::map<std::string, JobBook::Job> jobs;
+/// The state of a JobStore as bytes. What can be derived is left out.
+struct JobStoreSnapshot {
+  std::map<std::string, JobStore::Job> jobs;
   std::vector<ItemKey> lease_keys;
-  std::vector<JobBook::ItemLease> leases;
+  std::vector<JobStore::ItemLease> leases;
   MSGPACK_DEFINE(jobs, lease_keys, leases)
 };
 
-std::string JobBook::Save() const {
-  JobBookSnapshot snapshot;
+std::string JobStore::Save() const {
+  JobStoreSnapshot snapshot;
   snapshot.jobs.insert(this->jobs.begin(), this->jobs.end());
   for (const auto& [key, lease] : this->leases) {
     snapshot.lease_keys.push_back(key);
@@ -20,8 +20,8 @@
   return EncodeMessage(snapshot);
 }
 
-void JobBook::Load(std::string_view bytes) {
-  auto snapshot = DecodeMessage<JobBookSnapshot>(bytes);
+void JobStore::Load(std::string_view bytes) {
+  auto snapshot = DecodeMessage<JobStoreSnapshot>(bytes);
   this->jobs.clear();
   this->keys.clear();
   this->leases.clear();
--- a/src/jobs/internal/jobbook.cpp
+++ b/src/jobs/internal/jobstore.cpp
@@ -1,4 +1,4 @@
-#include "jobs/jobbook.h"
+#include "jobs/jobstore.h"
 
 #include <algorithm>
 
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-const JobSummary& JobBook::Create(const JobRequest& request) {
+const JobSummary& JobStore::Create(const JobRequest& request) {
   const auto known = this->keys.find({request.owner, request.key});
   if (known != this->keys.end()) {
     const JobSummary& first = this->jobs.at(known->second).summary;
@@ -47,7 +47,7 @@
       .first->second.summary;
 }
 
-void JobBook::LoadItems(Job& job, const StoredFile& file) {
+void JobStore::LoadItems(Job& job, const StoredFile& file) {
   ItemTable& items = job.items;
   for (const Extent& extent : file.extents) {
     const std::string bytes = this->blobs.ReadAt(extent.offset, extent.length);
@@ -68,7 +68,7 @@
   job.summary.items = static_cast<std::uint32_t>(count);
 }
 
-ResultCode JobBook::Complete(const ItemOutcome& outcome, std::int64_t now_ms) {
+ResultCode JobStore::Complete(const ItemOutcome& outcome, std::int64_t now_ms) {
   const auto found = this->jobs.find(outcome.key.job);
   if (found == this->jobs.end() ||
       outcome.key.item >= found->second.summary.items) {
@@ -113,8 +113,8 @@
   return ResultCode::kBadInput;
 }
 
-void JobBook::FinishItem(Job& job, std::uint32_t item, ItemState state,
-                         std::string_view line, std::int64_t now_ms) {
+void JobStore::FinishItem(Job& job, std::uint32_t item, ItemState state,
+                          std::string_view line, std::int64_t now_ms) {
   const storage::BlobRef ref = this->blobs.Append(std::string(line) + "\n");
   job.items.result_offset[item] = ref.offset;
   job.items.result_length[item] = ref.length;
@@ -128,7 +128,7 @@
   }
 }
 
-const JobSummary& JobBook::Cancel(const std::string& id, std::int64_t now_ms) {
+const JobSummary& JobStore::Cancel(const std::string& id, std::int64_t now_ms) {
   const auto found = this->jobs.find(id);
   if (found == this->jobs.end()) {
     throw ResultError(ResultCode::kNotFound, "no such job: " + id);
@@ -153,12 +153,12 @@
   return job.summary;
 }
 
-const JobSummary* JobBook::Find(std::string_view job) const {
+const JobSummary* JobStore::Find(std::string_view job) const {
   const auto found = this->jobs.find(job);
   return found != this->jobs.end() ? &found->second.summary : nullptr;
 }
 
-std::vector<const JobSummary*> JobBook::List(std::string_view owner) const {
+std::vector<const JobSummary*> JobStore::List(std::string_view owner) const {
   std::vector<const JobSummary*> list;
   for (const auto& [id, job] : this->jobs) {
     if (owner.empty() || job.summary.request.owner == owner) {
@@ -168,9 +168,10 @@
   return list;
 }
 
-std::string JobBook::ReadResults(std::string_view id, bool errors,
-                                 std::uint32_t from_item, std::size_t max_bytes,
-                                 std::uint32_t& next_item) const {
+std::string JobStore::ReadResults(std::string_view id, bool errors,
+                                  std::uint32_t from_item,
+                                  std::size_t max_bytes,
+                                  std::uint32_t& next_item) const {
   const auto found = this->jobs.find(id);
   if (found == this->jobs.end()) {
     throw ResultError(ResultCode::kNotFound, "no such job: " + std::string(id));
@@ -190,7 +191,7 @@
   return lines;
 }
 
-std::string JobBook::CustomIdOf(const Job& job, std::uint32_t item) const {
+std::string JobStore::CustomIdOf(const Job& job, std::uint32_t item) const {
   const std::string line = this->blobs.ReadAt(job.items.input_offset[item],
                                               job.items.input_length[item]);
   try {
@@ -200,12 +201,12 @@
   }
 }
 
-bool JobBook::HasWork(std::string_view service) const {
+bool JobStore::HasOpenJobs(std::string_view service) const {
   const auto found = this->open_jobs.find(service);
   return found != this->open_jobs.end() && !found->second.empty();
 }
 
-void JobBook::ExpireJobs(std::int64_t now_ms) {
+void JobStore::ExpireJobs(std::int64_t now_ms) {
   std::erase_if(this->jobs, [&](const auto& entry) {
     const JobSummary& summary = entry.second.summary;
     const bool over = summary.State() != JobState::kRunning &&
@@ -218,7 +219,7 @@
   });
 }
 
-std::uint64_t JobBook::FirstNeeded(std::uint64_t none) const {
+std::uint64_t JobStore::FirstNeededOffset(std::uint64_t none) const {
   std::uint64_t first = none;
   for (const auto& [id, job] : this->jobs) {
     if (!job.items.input_offset.empty()) {
--- a/src/jobs/jobbook.h
+++ b/src/jobs/jobstore.h
@@ -1,5 +1,5 @@
-#ifndef PAPAYARACK_JOBS_JOBBOOK_H_
-#define PAPAYARACK_JOBS_JOBBOOK_H_
+#ifndef PAPAYARACK_JOBS_JOBSTORE_H_
+#define PAPAYARACK_JOBS_JOBSTORE_H_
 
 #include <cstdint>
 #include <deque>
@@ -12,7 +12,7 @@
 
 #include "global/messagecodec.h"
 #include "global/resultcode.h"
-#include "jobs/filebook.h"
+#include "jobs/filestore.h"
 #include "storage/blobstore.h"
 
 namespace papayarack::jobs {
@@ -120,9 +120,9 @@
 /// whole; an item is leased to one holder at a time; the first completion
 /// stands; attempts are counted and bounded; after a cancel no item starts or
 /// completes. Deterministic. Thread safety: none.
-class JobBook {
+class JobStore {
  public:
-  JobBook(storage::BlobStore& blobs, FileBook& files)
+  JobStore(storage::BlobStore& blobs, FileStore& files)
       : blobs(blobs), files(files) {}
 
   /// Accepts a job, or gives the one that its key names already. Throws
@@ -156,9 +156,9 @@
                           std::uint32_t from_item, std::size_t max_bytes,
                           std::uint32_t& next_item) const;
   std::size_t LeaseCount() const { return this->leases.size(); }
-  bool HasWork(std::string_view service) const;
+  bool HasOpenJobs(std::string_view service) const;
   /// Smallest blob offset that a job still needs; `none` when there is no job.
-  std::uint64_t FirstNeeded(std::uint64_t none) const;
+  std::uint64_t FirstNeededOffset(std::uint64_t none) const;
 
   std::string Save() const;
   void Load(std::string_view bytes);
@@ -191,7 +191,7 @@
     bool suspect = false;  ///< An earlier attempt ended without a word.
     MSGPACK_DEFINE(holder, incarnation, attempt, expires_ms, suspect)
   };
-  friend struct JobBookSnapshot;
+  friend struct JobStoreSnapshot;
 
   void LoadItems(Job& job, const StoredFile& file);
   Job* PickJob(std::string_view service, bool holder_has_suspect,
@@ -209,7 +209,7 @@
   std::string CustomIdOf(const Job& job, std::uint32_t item) const;
 
   storage::BlobStore& blobs;
-  FileBook& files;
+  FileStore& files;
   std::map<std::string, Job, std::less<>> jobs;
   std::map<std::pair<std::string, std::string>, std::string>
       keys;  ///< Owner and key to job.
@@ -221,4 +221,4 @@
 
 }  // namespace papayarack::jobs
 
-#endif  // PAPAYARACK_JOBS_JOBBOOK_H_
+#endif  // PAPAYARACK_JOBS_JOBSTORE_H_
--- a/src/jobs/tests/jobs_tests.cpp
+++ b/src/jobs/tests/jobs_tests.cpp
@@ -2,7 +2,7 @@
 #include <nlohmann/json.hpp>
 
 #include "jobs/itemline.h"
-#include "jobs/jobbook.h"
+#include "jobs/jobstore.h"
 #include "storage/memoryfilesystem.h"
 
 namespace papayarack::jobs {
@@ -13,8 +13,8 @@
 struct Desk {
   storage::MemoryFileSystem disk;
   storage::BlobStore blobs{disk, "blob"};
-  FileBook files{blobs};
-  JobBook book{blobs, files};
+  FileStore files{blobs};
+  JobStore book{blobs, files};
 
   static std::string Lines(int count) {
     std::string lines;
@@ -168,7 +168,7 @@
   SECTION("survives a snapshot in the middle") {
     const auto items = desk.Lease("a", 2);
     desk.End(items[0], AttemptEnd::kDone, "one");
-    JobBook copy(desk.blobs, desk.files);
+    JobStore copy(desk.blobs, desk.files);
     copy.Load(desk.book.Save());
     CHECK(copy.Find("j")->done == 1);
     CHECK(copy.LeaseCount() == 1);
--- a/src/statemachine/commands.h
+++ b/src/statemachine/commands.h
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "claims/claimbook.h"
-#include "documents/documentbook.h"
+#include "documents/documentstore.h"
 #include "global/messagecodec.h"
-#include "jobs/jobbook.h"
+#include "jobs/jobstore.h"
 
 namespace papayarack::statemachine {
 
@@ -56,7 +56,7 @@
   MSGPACK_DEFINE(items, outcome_codes, stop)
 };
 /// Time passes: leases, claims and kept results run out. No reply body.
-struct PassTime {
+struct AdvanceTime {
   std::int64_t now_ms = 0;
   MSGPACK_DEFINE(now_ms)
 };
@@ -73,7 +73,7 @@
 
 /// What the log holds. Alternatives are only ever added at the end.
 using Command = std::variant<SubmitDocument, AppendFile, CreateJob, CancelJob,
-                             PullItems, PassTime, MakeClaim, EndClaim>;
+                             PullItems, AdvanceTime, MakeClaim, EndClaim>;
 
 /// The answer to a command or query.
 struct CommandReply {
--- a/src/statemachine/internal/statemachine.cpp
+++ b/src/statemachine/internal/statemachine.cpp
@@ -101,7 +101,7 @@
   return ReplyWith(0, reply);
 }
 
-CommandReply StateMachine::Do(const PassTime& command) {
+CommandReply StateMachine::Do(const AdvanceTime& command) {
   this->job_book.ExpireLeases(command.now_ms);
   this->job_book.ExpireJobs(command.now_ms);
   this->claim_book.Expire(command.now_ms);
@@ -113,8 +113,8 @@
         });
       });
   const std::uint64_t none = this->blobs.length();
-  this->blobs.DropBefore(std::min(this->file_book.FirstNeeded(none),
-                                  this->job_book.FirstNeeded(none)));
+  this->blobs.DropBefore(std::min(this->file_book.FirstNeededOffset(none),
+                                  this->job_book.FirstNeededOffset(none)));
   return {};
 }
 
@@ -128,7 +128,7 @@
   return {};
 }
 
-bool StateMachine::NeedsPassTime(std::int64_t now_ms) const {
+bool StateMachine::NeedsAdvanceTime(std::int64_t now_ms) const {
   return this->job_book.HasExpired(now_ms);
 }
 
--- a/src/statemachine/statemachine.h
+++ b/src/statemachine/statemachine.h
@@ -5,9 +5,9 @@
 #include <string_view>
 
 #include "claims/claimbook.h"
-#include "documents/documentbook.h"
-#include "jobs/filebook.h"
-#include "jobs/jobbook.h"
+#include "documents/documentstore.h"
+#include "jobs/filestore.h"
+#include "jobs/jobstore.h"
 #include "statemachine/commands.h"
 #include "storage/blobstore.h"
 
@@ -24,18 +24,18 @@
   /// Applies one committed command. Malformed or refused commands give a reply
   /// with a code and change nothing. Throws only when the disk fails.
   CommandReply Apply(std::string_view command);
-  /// True when a PassTime at `now_ms` would change something soon needed.
-  bool NeedsPassTime(std::int64_t now_ms) const;
+  /// True when a AdvanceTime at `now_ms` would change something soon needed.
+  bool NeedsAdvanceTime(std::int64_t now_ms) const;
 
   std::string Save() const;
   /// Throws ResultError(kProtocol) on malformed bytes.
   void Load(std::string_view bytes);
 
-  const documents::DocumentBook& documents() const {
+  const documents::DocumentStore& documents() const {
     return this->document_book;
   }
-  const jobs::JobBook& jobs() const { return this->job_book; }
-  const jobs::FileBook& files() const { return this->file_book; }
+  const jobs::JobStore& jobs() const { return this->job_book; }
+  const jobs::FileStore& files() const { return this->file_book; }
   const claims::ClaimBook& claims() const { return this->claim_book; }
 
  private:
@@ -44,14 +44,14 @@
   CommandReply Do(const CreateJob& command);
   CommandReply Do(const CancelJob& command);
   CommandReply Do(const PullItems& command);
-  CommandReply Do(const PassTime& command);
+  CommandReply Do(const AdvanceTime& command);
   CommandReply Do(const MakeClaim& command);
   CommandReply Do(const EndClaim& command);
 
   storage::BlobStore& blobs;
-  documents::DocumentBook document_book;
-  jobs::FileBook file_book;
-  jobs::JobBook job_book;
+  documents::DocumentStore document_book;
+  jobs::FileStore file_book;
+  jobs::JobStore job_book;
   claims::ClaimBook claim_book;
 };
 
--- a/src/storage/blobstore.h
+++ b/src/storage/blobstore.h
@@ -18,7 +18,7 @@
 };
 
 /// Where bytes that another thread writes will lie.
-struct BlobPlan {
+struct AppendPlan {
   std::string file;
   std::uint64_t inside = 0;  ///< Offset in the file.
   BlobRef ref;
@@ -45,11 +45,11 @@
   /// An append in two steps, so that the owner does not wait for the disk: any
   /// one thread carries the plan out, then the owner takes it over. Nothing
   /// else is appended meanwhile.
-  BlobPlan PlanAppend(std::uint32_t length) const;
+  AppendPlan PlanAppend(std::uint32_t length) const;
   /// Writes and syncs. What an attempt before a crash left is cut off first.
-  static void CarryOut(FileSystem& files, const BlobPlan& plan,
-                       std::string_view bytes);
-  void TakeOver(const BlobPlan& plan);
+  static void WriteAppend(FileSystem& files, const AppendPlan& plan,
+                          std::string_view bytes);
+  void CommitAppend(const AppendPlan& plan);
   /// Throws ResultError(kNotFound) for a range that was dropped or never
   /// written.
   std::string ReadAt(std::uint64_t offset, std::size_t length) const;
--- a/src/storage/internal/blobstore.cpp
+++ b/src/storage/internal/blobstore.cpp
@@ -90,8 +90,8 @@
   return size >= this->segment_bytes || start + size != this->total;
 }
 
-BlobPlan BlobStore::PlanAppend(std::uint32_t length) const {
-  BlobPlan plan;
+AppendPlan BlobStore::PlanAppend(std::uint32_t length) const {
+  AppendPlan plan;
   plan.new_file = this->NeedsSegment();
   plan.ref = {this->total, length};
   const std::uint64_t start =
@@ -101,8 +101,8 @@
   return plan;
 }
 
-void BlobStore::CarryOut(FileSystem& files, const BlobPlan& plan,
-                         std::string_view bytes) {
+void BlobStore::WriteAppend(FileSystem& files, const AppendPlan& plan,
+                            std::string_view bytes) {
   if (files.Exists(plan.file) && files.Size(plan.file) > plan.inside) {
     files.Truncate(plan.file, plan.inside);
   }
@@ -113,7 +113,7 @@
   }
 }
 
-void BlobStore::TakeOver(const BlobPlan& plan) {
+void BlobStore::CommitAppend(const AppendPlan& plan) {
   this->segments[plan.ref.offset - plan.inside] = plan.inside + plan.ref.length;
   this->total = plan.ref.offset + plan.ref.length;
 }
