--- a/src/jobs/filestore.h
+++ b/src/jobs/filestore.h
@@ -12,15 +12,15 @@
 
 namespace papayarack::jobs {
 
-/// A run of bytes of a file in the blob store.
+/// A contiguous byte range of the blob store that holds part of a file.
 struct Extent {
   std::uint64_t offset = 0;
   std::uint32_t length = 0;
   MSGPACK_DEFINE(offset, length)
 };
 
-/// An uploaded input file. Its id is made of its content, so a resend is the
-/// same file.
+/// An uploaded input file. Its id is derived from its content, so uploading the
+/// same content again addresses the same file.
 struct StoredFile {
   std::string owner;
   std::uint64_t bytes = 0;
@@ -30,29 +30,31 @@
   MSGPACK_DEFINE(owner, bytes, complete, created_ms, extents)
 };
 
-/// Input files, written chunk by chunk through the log. Each chunk holds whole
-/// lines, so that no item spans two extents. Deterministic. Thread safety:
-/// none.
+/// Stores input files, which arrive chunk by chunk through the log. Each chunk
+/// holds whole lines, so that no item spans two extents. Deterministic. Thread
+/// safety: none.
 class FileStore {
  public:
   explicit FileStore(storage::BlobStore& blobs) : blobs(blobs) {}
 
-  /// Adds a chunk. A chunk that is there already is accepted and not stored
-  /// again; one that leaves a gap throws ResultError(kBadInput).
-  void Append(const std::string& id, const std::string& owner, std::uint64_t at,
-              std::string_view bytes, bool last, std::int64_t now_ms);
+  /// Appends a chunk at `offset`. A chunk that is already stored is accepted
+  /// and ignored; one that leaves a gap throws ResultError(kBadInput).
+  void Append(const std::string& id, const std::string& owner,
+              std::uint64_t offset, std::string_view bytes, bool last,
+              std::int64_t now_ms);
   const StoredFile* Find(const std::string& id) const;
-  /// Up to `length` bytes from `at`.
-  std::string Read(const StoredFile& file, std::uint64_t at,
+  /// Returns up to `length` bytes of the file from `offset`.
+  std::string Read(const StoredFile& file, std::uint64_t offset,
                    std::size_t length) const;
-  /// Forgets files older than `before_ms` that `in_use` does not name.
+  /// Removes files that were created before `before_ms` and for which `in_use`
+  /// returns false.
   template <typename InUse>
   void Expire(std::int64_t before_ms, const InUse& in_use) {
     std::erase_if(this->files, [&](const auto& file) {
       return file.second.created_ms < before_ms && !in_use(file.first);
     });
   }
-  /// Smallest blob offset that a file still needs; `none` when there is no
+  /// Smallest blob offset that a file still refers to; `none` if there is no
   /// file.
   std::uint64_t FirstNeededOffset(std::uint64_t none) const;
   const std::map<std::string, StoredFile>& all() const { return this->files; }
--- a/src/jobs/internal/itemline.cpp
+++ b/src/jobs/internal/itemline.cpp
@@ -9,9 +9,9 @@
 namespace papayarack::jobs {
 namespace {
 
-[[noreturn]] void Refuse(ResultCode code, std::size_t line,
-                         std::string_view what) {
-  throw ResultError(code, fmt::format("line {}: {}", line, what));
+[[noreturn]] void ThrowLineError(ResultCode code, std::size_t line,
+                                 std::string_view reason) {
+  throw ResultError(code, fmt::format("line {}: {}", line, reason));
 }
 
 }  // namespace
@@ -20,21 +20,24 @@
   const nlohmann::json document =
       ParseJson(line, fmt::format("line {}", line_number));
   if (!document.is_object()) {
-    Refuse(ResultCode::kBadInput, line_number, "expected a JSON object");
+    ThrowLineError(ResultCode::kBadInput, line_number,
+                   "expected a JSON object");
   }
   const auto id = document.find("custom_id");
   if (id == document.end() || !id->is_string() ||
       id->get_ref<const std::string&>().empty()) {
-    Refuse(ResultCode::kBadInput, line_number,
-           "[/custom_id] expected a text that is not empty");
+    ThrowLineError(ResultCode::kBadInput, line_number,
+                   "[/custom_id] expected a text that is not empty");
   }
   const auto body = document.find("body");
   if (body == document.end() || !body->is_object()) {
-    Refuse(ResultCode::kBadInput, line_number, "[/body] expected an object");
+    ThrowLineError(ResultCode::kBadInput, line_number,
+                   "[/body] expected an object");
   }
   const auto url = document.find("url");
   if (url != document.end() && !url->is_string()) {
-    Refuse(ResultCode::kBadInput, line_number, "[/url] expected a text");
+    ThrowLineError(ResultCode::kBadInput, line_number,
+                   "[/url] expected a text");
   }
   return {
       id->get<std::string>(),
@@ -54,20 +57,23 @@
     start = end + 1;
     ++line_number;
     if (line.size() > limits.max_line_bytes) {
-      Refuse(ResultCode::kTooLarge, line_number,
-             fmt::format("{} bytes, the limit is {}", line.size(),
-                         limits.max_line_bytes));
+      ThrowLineError(ResultCode::kTooLarge, line_number,
+                     fmt::format("{} bytes, the limit is {}", line.size(),
+                                 limits.max_line_bytes));
     }
     const ItemLine item = ParseItemLine(line, line_number);
-    const auto [place, fresh] = seen.emplace(item.custom_id, line_number);
-    if (!fresh) {
-      Refuse(ResultCode::kBadInput, line_number,
-             fmt::format("[/custom_id] \"{}\" stands already in line {}",
-                         item.custom_id, place->second));
+    const auto [first_use, inserted] =
+        seen.emplace(item.custom_id, line_number);
+    if (!inserted) {
+      ThrowLineError(
+          ResultCode::kBadInput, line_number,
+          fmt::format("[/custom_id] \"{}\" stands already in line {}",
+                      item.custom_id, first_use->second));
     }
     if (line_number > limits.max_items) {
-      Refuse(ResultCode::kTooLarge, line_number,
-             fmt::format("more than {} items in one job", limits.max_items));
+      ThrowLineError(
+          ResultCode::kTooLarge, line_number,
+          fmt::format("more than {} items in one job", limits.max_items));
     }
   }
   if (line_number == 0) {
--- a/src/jobs/internal/jobleasing.cpp
+++ b/src/jobs/internal/jobleasing.cpp
@@ -6,15 +6,15 @@
 namespace papayarack::jobs {
 namespace {
 
-/// Of every so many grants, one goes to the job that was granted least,
-/// whatever its due time: a job of 63,000 items must not hold back a job of ten
-/// that is due a little later.
-constexpr std::uint64_t kFairEvery = 2;
+/// Every nth grant goes to the job with the fewest grants, whatever its due
+/// time: a job of 63,000 items must not delay a job of ten that is due a little
+/// later.
+constexpr std::uint64_t kFairGrantInterval = 2;
 
 }  // namespace
 
 std::vector<LeasedItem> JobStore::Lease(const LeaseRequest& request) {
-  this->TakeBackUnlisted(request);
+  this->ReclaimUnlistedLeases(request);
   std::vector<LeasedItem> granted;
   bool has_suspect = this->HolderHasSuspect(request.holder);
   while (granted.size() < request.count) {
@@ -64,36 +64,38 @@
       least_granted = &job;
     }
   }
-  return picks % kFairEvery == kFairEvery - 1 ? least_granted : first_due;
+  return picks % kFairGrantInterval == kFairGrantInterval - 1 ? least_granted
+                                                              : first_due;
 }
 
-/// Moves nothing but the cursor over items that ended meanwhile; the caller
-/// takes the item. Symptom guarded against: one item that kills its upstream
-/// takes down gate after gate. An item whose earlier attempt ended without a
-/// word goes only to a holder without another such item.
+/// Returns the next item to lease without leasing it; only skips items that
+/// have ended meanwhile. An item whose earlier attempt ended without a result
+/// goes only to a holder without another such item: otherwise one item that
+/// crashes its upstream could take down gate after gate.
 std::optional<std::uint32_t> JobStore::PickItem(Job& job,
                                                 bool holder_has_suspect) {
   const auto pending = static_cast<std::uint8_t>(ItemState::kPending);
-  while (job.next_fresh < job.summary.items &&
-         job.items.state[job.next_fresh] != pending) {
-    ++job.next_fresh;
+  while (job.next_unleased < job.summary.items &&
+         job.items.state[job.next_unleased] != pending) {
+    ++job.next_unleased;
   }
-  while (!job.again.empty() && job.items.state[job.again.front()] != pending) {
-    job.again.pop_front();
+  while (!job.retries.empty() &&
+         job.items.state[job.retries.front()] != pending) {
+    job.retries.pop_front();
   }
-  if (!job.again.empty()) {
-    const bool suspect = job.items.attempts[job.again.front()] > 0;
+  if (!job.retries.empty()) {
+    const bool suspect = job.items.attempts[job.retries.front()] > 0;
     if (!suspect || !holder_has_suspect) {
-      return job.again.front();
+      return job.retries.front();
     }
   }
-  while (job.next_fresh < job.summary.items &&
-         (job.items.state[job.next_fresh] != pending ||
-          job.items.attempts[job.next_fresh] > 0)) {
-    ++job.next_fresh;
+  while (job.next_unleased < job.summary.items &&
+         (job.items.state[job.next_unleased] != pending ||
+          job.items.attempts[job.next_unleased] > 0)) {
+    ++job.next_unleased;
   }
-  if (job.next_fresh < job.summary.items) {
-    return job.next_fresh;
+  if (job.next_unleased < job.summary.items) {
+    return job.next_unleased;
   }
   return std::nullopt;
 }
@@ -104,7 +106,7 @@
   });
 }
 
-void JobStore::TakeBackUnlisted(const LeaseRequest& request) {
+void JobStore::ReclaimUnlistedLeases(const LeaseRequest& request) {
   std::vector<ItemKey> lost;
   for (auto& [key, lease] : this->leases) {
     if (lease.holder != request.holder) {
@@ -123,15 +125,15 @@
   for (const ItemKey& key : lost) {
     const ItemLease& lease = this->leases.at(key);
     if (lease.incarnation == request.incarnation) {
-      // The same process never got the grant: nothing ran, so no attempt is
-      // counted.
+      // The process did not restart, so it never received the grant: nothing
+      // ran, and no attempt is counted.
       Job& job = this->jobs.at(key.job);
       this->EndLease(key);
-      this->TakeBackAttempt(job, key.item);
-      this->RunAgain(job, key.item);
+      this->UndoAttempt(job, key.item);
+      this->Requeue(job, key.item);
     } else {
-      this->AttemptLost(key, "the process that ran it restarted",
-                        request.now_ms);
+      this->EndFailedAttempt(key, "the process that ran it restarted",
+                             request.now_ms);
     }
   }
 }
@@ -146,28 +148,28 @@
   this->jobs.at(key.job).summary.leased -= 1;
 }
 
-void JobStore::TakeBackAttempt(Job& job, std::uint32_t item) {
+void JobStore::UndoAttempt(Job& job, std::uint32_t item) {
   job.items.attempts[item] -= 1;
   job.summary.attempts -= 1;
 }
 
-void JobStore::RunAgain(Job& job, std::uint32_t item) {
+void JobStore::Requeue(Job& job, std::uint32_t item) {
   job.items.state[item] = static_cast<std::uint8_t>(ItemState::kPending);
-  job.again.push_back(item);
+  job.retries.push_back(item);
 }
 
-void JobStore::AttemptLost(const ItemKey& key, std::string_view reason,
-                           std::int64_t now_ms) {
+void JobStore::EndFailedAttempt(const ItemKey& key, std::string_view reason,
+                                std::int64_t now_ms) {
   Job& job = this->jobs.at(key.job);
   this->EndLease(key);
   const JobRequest& request = job.summary.request;
   const bool spent = job.items.attempts[key.item] >= request.max_attempts;
   if (!spent && request.repeatable) {
-    this->RunAgain(job, key.item);
+    this->Requeue(job, key.item);
     return;
   }
-  // An item that may not be repeated and whose attempt is in doubt is never
-  // handed out again.
+  // An item that may not be repeated is never leased again after an attempt
+  // whose outcome is unknown.
   const ResultCode code = request.repeatable ? ResultCode::kAttemptsExhausted
                                              : ResultCode::kUnknownOutcome;
   const std::string line = ErrorLine(
@@ -182,7 +184,7 @@
 void JobStore::ExpireLeases(std::int64_t now_ms) {
   while (this->HasExpired(now_ms)) {
     const ItemKey key = this->expiries.begin()->second;
-    this->AttemptLost(
+    this->EndFailedAttempt(
         key, "its lease ran out: the process or upstream that ran it went away",
         now_ms);
   }
--- a/src/jobs/internal/jobsnapshot.cpp
+++ b/src/jobs/internal/jobsnapshot.cpp
@@ -2,7 +2,7 @@
 
 namespace papayarack::jobs {
 
-/// The state of a JobStore as bytes. What can be derived is left out.
+/// The serialized state of a JobStore, without what can be derived.
 struct JobStoreSnapshot {
   std::map<std::string, JobStore::Job> jobs;
   std::vector<ItemKey> lease_keys;
--- a/src/jobs/internal/jobstore.cpp
+++ b/src/jobs/internal/jobstore.cpp
@@ -88,8 +88,8 @@
   switch (outcome.End()) {
     case AttemptEnd::kDone:
     case AttemptEnd::kImpossible: {
-      // A late completion of an attempt whose lease ran out is as good as any:
-      // the first stands.
+      // A late completion of an attempt whose lease expired is valid too: the
+      // first completion wins.
       this->EndLease(outcome.key);
       const bool done = outcome.End() == AttemptEnd::kDone;
       this->FinishItem(job, outcome.key.item,
@@ -100,13 +100,13 @@
     case AttemptEnd::kReturned:
       if (holds) {
         this->EndLease(outcome.key);
-        this->TakeBackAttempt(job, outcome.key.item);
-        this->RunAgain(job, outcome.key.item);
+        this->UndoAttempt(job, outcome.key.item);
+        this->Requeue(job, outcome.key.item);
       }
       return ResultCode::kOk;
     case AttemptEnd::kFailed:
       if (holds) {
-        this->AttemptLost(outcome.key, outcome.reason, now_ms);
+        this->EndFailedAttempt(outcome.key, outcome.reason, now_ms);
       }
       return ResultCode::kOk;
   }
@@ -124,7 +124,7 @@
     job.summary.state = static_cast<std::uint8_t>(JobState::kCompleted);
     job.summary.finished_ms = now_ms;
     this->open_jobs[job.summary.request.service].erase(job.summary.request.id);
-    job.again.clear();
+    job.retries.clear();
   }
 }
 
@@ -139,7 +139,7 @@
   }
   job.summary.state = static_cast<std::uint8_t>(JobState::kCancelled);
   job.summary.finished_ms = now_ms;
-  job.again.clear();
+  job.retries.clear();
   this->open_jobs[job.summary.request.service].erase(id);
   for (std::uint32_t item = 0; item < job.summary.items; ++item) {
     const auto state = static_cast<ItemState>(job.items.state[item]);
@@ -209,13 +209,13 @@
 void JobStore::ExpireJobs(std::int64_t now_ms) {
   std::erase_if(this->jobs, [&](const auto& entry) {
     const JobSummary& summary = entry.second.summary;
-    const bool over = summary.State() != JobState::kRunning &&
-                      now_ms - summary.finished_ms >
-                          summary.request.keep_days * kMillisPerDay;
-    if (over) {
+    const bool expired = summary.State() != JobState::kRunning &&
+                         now_ms - summary.finished_ms >
+                             summary.request.keep_days * kMillisPerDay;
+    if (expired) {
       this->keys.erase({summary.request.owner, summary.request.key});
     }
-    return over;
+    return expired;
   });
 }
 
--- a/src/jobs/itemline.h
+++ b/src/jobs/itemline.h
@@ -18,27 +18,27 @@
   nlohmann::json body;
 };
 
-/// Reads one line. Throws ResultError(kBadInput) naming `line_number` and the
-/// field.
+/// Parses one line. Throws ResultError(kBadInput) that names `line_number` and
+/// the field.
 ItemLine ParseItemLine(std::string_view line, std::size_t line_number);
 
-/// The bounds of a batch input file.
+/// Limits of a batch input file.
 struct InputLimits {
   std::size_t max_items = 63000;
   std::size_t max_line_bytes = 1U << 20U;
 };
 
-/// Checks a whole file: each line an item, each custom_id once. Returns the
-/// number of items. Throws ResultError(kBadInput, kTooLarge) naming the line
-/// and the field.
+/// Checks a whole file: every line must be a valid item and every custom_id
+/// unique. Returns the number of items. Throws ResultError(kBadInput,
+/// kTooLarge) that names the line and the field.
 std::size_t CheckInputFile(std::string_view content, const InputLimits& limits);
 
-/// The output line of an item that was answered.
+/// Returns the output line of an item that was answered.
 std::string OutputLine(std::string_view job, std::uint32_t item,
                        std::string_view custom_id, int status,
                        const nlohmann::json& body);
 
-/// The error line of an item that could not be done.
+/// Returns the error line of an item that failed.
 std::string ErrorLine(std::string_view job, std::uint32_t item,
                       std::string_view custom_id, ResultCode code,
                       std::string_view reason);
--- a/src/jobs/jobstore.h
+++ b/src/jobs/jobstore.h
@@ -30,11 +30,11 @@
   kDropped = 4
 };
 
-/// What a caller asks for.
+/// A job as submitted by a caller.
 struct JobRequest {
   std::string id;
   std::string owner;
-  std::string key;  ///< Idempotency key, unique for its owner.
+  std::string key;  ///< Idempotency key, unique per owner.
   std::string service;
   std::string work;
   std::string file;
@@ -48,7 +48,7 @@
                  max_attempts, max_items, keep_days, repeatable)
 };
 
-/// A job as it is shown.
+/// A job with its progress, as returned to callers.
 struct JobSummary {
   JobRequest request;
   std::uint8_t state = 0;
@@ -64,7 +64,7 @@
   JobState State() const { return static_cast<JobState>(this->state); }
 };
 
-/// Names one item of one job.
+/// Identifies one item of one job.
 struct ItemKey {
   std::string job;
   std::uint32_t item = 0;
@@ -73,7 +73,7 @@
       default;  // NOLINT(modernize-use-nullptr)
 };
 
-/// An item handed to a gate for one attempt.
+/// An item leased to a gate for one attempt.
 struct LeasedItem {
   ItemKey key;
   std::uint32_t attempt = 0;
@@ -86,11 +86,11 @@
 /// How an attempt ended.
 enum class AttemptEnd : std::uint8_t {
   kDone = 0,        ///< `line` is the output line.
-  kImpossible = 1,  ///< The upstream says that it can never be done; `line` is
-                    ///< the error line.
+  kImpossible = 1,  ///< The upstream reported a permanent error; `line` is the
+                    ///< error line.
   kFailed =
-      2,  ///< It counts as an attempt and runs again while attempts remain.
-  kReturned = 3,  ///< It stepped aside or never ran: no attempt is counted.
+      2,  ///< Counts as an attempt; the item is retried while attempts remain.
+  kReturned = 3,  ///< Preempted or never started; does not count as an attempt.
 };
 struct ItemOutcome {
   ItemKey key;
@@ -103,7 +103,7 @@
   AttemptEnd End() const { return static_cast<AttemptEnd>(this->end); }
 };
 
-/// A gate asking for work.
+/// A request of a gate for work, which also renews its leases.
 struct LeaseRequest {
   std::string holder;
   std::uint64_t incarnation = 0;
@@ -112,59 +112,62 @@
   std::int64_t now_ms = 0;
   std::int64_t lease_ms = 0;
   std::vector<ItemKey>
-      holding;  ///< What the gate knows to hold; these leases are renewed.
+      holding;  ///< Items that the gate holds; their leases are renewed.
   MSGPACK_DEFINE(holder, incarnation, service, count, now_ms, lease_ms, holding)
 };
 
-/// Jobs and their items, as the log decides them. The rules: a job is accepted
-/// whole; an item is leased to one holder at a time; the first completion
-/// stands; attempts are counted and bounded; after a cancel no item starts or
-/// completes. Deterministic. Thread safety: none.
+/// Stores jobs and their items; part of the replicated state machine.
+/// Invariants: a job is accepted as a whole; an item is leased to one holder at
+/// a time; the first completion wins; the number of attempts is bounded; after
+/// a cancellation no item starts or completes. Deterministic. Thread safety:
+/// none.
 class JobStore {
  public:
   JobStore(storage::BlobStore& blobs, FileStore& files)
       : blobs(blobs), files(files) {}
 
-  /// Accepts a job, or gives the one that its key names already. Throws
-  /// ResultError(kConflict) when the key was used for other content, kNotFound
-  /// without the file, kTooLarge.
+  /// Accepts a job, or returns the job already created under its key. Throws
+  /// ResultError: kConflict if the key was used for other content, kNotFound if
+  /// the file does not exist, kTooLarge.
   const JobSummary& Create(const JobRequest& request);
-  /// Grants up to request.count items. Leases of the holder that it does not
-  /// list are taken back: its answer was lost, or it restarted.
+  /// Leases up to request.count items. Leases of this holder that it does not
+  /// list are revoked: either the reply to its last request was lost, or it
+  /// restarted.
   std::vector<LeasedItem> Lease(const LeaseRequest& request);
-  /// Records the end of an attempt. kAlreadyDone when an earlier completion
-  /// stands, kCancelled after a cancel, kOk otherwise. Nothing throws for a
-  /// stale outcome.
+  /// Records the end of an attempt. Returns kAlreadyDone if the item has
+  /// already completed, kCancelled after a cancellation, kOk otherwise. Does
+  /// not throw for a stale outcome.
   ResultCode Complete(const ItemOutcome& outcome, std::int64_t now_ms);
-  /// Throws ResultError(kNotFound). Cancelling twice, or a finished job,
-  /// changes nothing.
+  /// Cancels a job; no effect on a job that is already cancelled or finished.
+  /// Throws ResultError(kNotFound).
   const JobSummary& Cancel(const std::string& job, std::int64_t now_ms);
-  /// Takes back leases that ran out.
+  /// Revokes expired leases.
   void ExpireLeases(std::int64_t now_ms);
-  /// True when ExpireLeases would change something.
+  /// True if ExpireLeases would change something.
   bool HasExpired(std::int64_t now_ms) const;
-  /// Forgets jobs whose time to be kept is over, and their bytes.
+  /// Removes finished jobs whose retention period is over.
   void ExpireJobs(std::int64_t now_ms);
 
-  /// The job, or null. Thread safety: as the class.
+  /// Returns the job, or null if it does not exist.
   const JobSummary* Find(std::string_view job) const;
   std::vector<const JobSummary*> List(std::string_view owner) const;
-  /// Result lines in item order, each with its line end, from `from_item` until
-  /// `max_bytes`. `next_item` receives where to go on; it is the number of
-  /// items at the end.
+  /// Returns result lines in item order, each with its newline, starting at
+  /// `from_item` and stopping once `max_bytes` are reached. Sets `next_item` to
+  /// the item to continue from, which is the number of items at the end.
   std::string ReadResults(std::string_view job, bool errors,
                           std::uint32_t from_item, std::size_t max_bytes,
                           std::uint32_t& next_item) const;
   std::size_t LeaseCount() const { return this->leases.size(); }
   bool HasOpenJobs(std::string_view service) const;
-  /// Smallest blob offset that a job still needs; `none` when there is no job.
+  /// Smallest blob offset that a job still refers to; `none` if there is no
+  /// job.
   std::uint64_t FirstNeededOffset(std::uint64_t none) const;
 
   std::string Save() const;
   void Load(std::string_view bytes);
 
  private:
-  /// Items as parallel arrays: 26 bytes an item.
+  /// Items as parallel arrays, 26 bytes per item.
   struct ItemTable {
     std::vector<std::uint64_t> input_offset;
     std::vector<std::uint32_t> input_length;
@@ -178,17 +181,17 @@
   struct Job {
     JobSummary summary;
     ItemTable items;
-    std::uint32_t next_fresh = 0;     ///< First item that was never leased.
-    std::deque<std::uint32_t> again;  ///< Items to run again.
-    std::uint64_t granted = 0;        ///< For fairness among jobs.
-    MSGPACK_DEFINE(summary, items, next_fresh, again, granted)
+    std::uint32_t next_unleased = 0;    ///< First item that was never leased.
+    std::deque<std::uint32_t> retries;  ///< Items waiting for another attempt.
+    std::uint64_t granted = 0;  ///< Number of grants, for fairness among jobs.
+    MSGPACK_DEFINE(summary, items, next_unleased, retries, granted)
   };
   struct ItemLease {
     std::string holder;
     std::uint64_t incarnation = 0;
     std::uint32_t attempt = 0;
     std::int64_t expires_ms = 0;
-    bool suspect = false;  ///< An earlier attempt ended without a word.
+    bool suspect = false;  ///< An earlier attempt ended without a result.
     MSGPACK_DEFINE(holder, incarnation, attempt, expires_ms, suspect)
   };
   friend struct JobStoreSnapshot;
@@ -197,13 +200,13 @@
   Job* PickJob(std::string_view service, bool holder_has_suspect,
                std::uint64_t picks);
   std::optional<std::uint32_t> PickItem(Job& job, bool holder_has_suspect);
-  void TakeBackUnlisted(const LeaseRequest& request);
+  void ReclaimUnlistedLeases(const LeaseRequest& request);
   bool HolderHasSuspect(std::string_view holder) const;
   void EndLease(const ItemKey& key);
-  void AttemptLost(const ItemKey& key, std::string_view reason,
-                   std::int64_t now_ms);
-  void TakeBackAttempt(Job& job, std::uint32_t item);
-  void RunAgain(Job& job, std::uint32_t item);
+  void EndFailedAttempt(const ItemKey& key, std::string_view reason,
+                        std::int64_t now_ms);
+  void UndoAttempt(Job& job, std::uint32_t item);
+  void Requeue(Job& job, std::uint32_t item);
   void FinishItem(Job& job, std::uint32_t item, ItemState state,
                   std::string_view line, std::int64_t now_ms);
   std::string CustomIdOf(const Job& job, std::uint32_t item) const;
@@ -212,11 +215,11 @@
   FileStore& files;
   std::map<std::string, Job, std::less<>> jobs;
   std::map<std::pair<std::string, std::string>, std::string>
-      keys;  ///< Owner and key to job.
+      keys;  ///< Job id by owner and key.
   std::map<ItemKey, ItemLease> leases;
   std::set<std::pair<std::int64_t, ItemKey>> expiries;
   std::map<std::string, std::set<std::string>, std::less<>>
-      open_jobs;  ///< By service.
+      open_jobs;  ///< Job ids by service.
 };
 
 }  // namespace papayarack::jobs
