--- a/src/entry/entryserver.h
+++ b/src/entry/entryserver.h
@@ -9,8 +9,9 @@
 
 namespace papayarack::entry {
 
-/// The role entry: callers' and operators' HTTP. Threads: one for each
-/// connection being served, peer I/O, heartbeats. Thread safety: any thread.
+/// The server of the entry role: the HTTP APIs for callers and operators.
+/// Threads: one per served connection, peer I/O, heartbeats. Thread safety: any
+/// thread.
 class EntryServer {
  public:
   /// Throws ResultError(kBadInput) when the address cannot be bound.
@@ -19,13 +20,13 @@
   EntryServer(const EntryServer&) = delete;
   EntryServer& operator=(const EntryServer&) = delete;
 
-  /// Unhealthy from now on, so that the balancer moves on; requests are still
-  /// served.
+  /// Reports unhealthy from now on, so that the load balancer moves on;
+  /// requests are still served.
   void BeginLeave();
-  /// Refuses new requests as not run, so that open answers can come to an end.
+  /// Refuses new requests with "not run", so that open answers can finish.
   void RefuseNew();
-  /// Answers in progress. The process may go once there are none: the HTTP
-  /// library cuts streams that are open when it is stopped.
+  /// Number of answers in progress. The process must not exit before it is
+  /// zero: the HTTP library cuts open streams when it is stopped.
   std::size_t OpenAnswers() const;
   nlohmann::json Dump() const;
   bool Healthy() const;
--- a/src/entry/fleetview.h
+++ b/src/entry/fleetview.h
@@ -16,27 +16,29 @@
 
 namespace papayarack::entry {
 
-/// A service as an entry knows it.
+/// A service as known to an entry.
 struct KnownService {
   documents::ServiceDocument document;
   std::uint64_t revision = 0;
 };
 
-/// What one entry knows of documents and gates, shared by its HTTP threads. A
-/// lock around the pure cores costs less than a hop through a ring for each
-/// choice. Thread safety: any thread.
+/// The documents and gates known to one entry, shared by its HTTP threads. A
+/// lock around the single-threaded cores costs less than a hop through a ring
+/// for each routing decision. Thread safety: any thread.
 class FleetView {
  public:
   explicit FleetView(const RouterOptions& options) : router(options) {}
 
-  /// Takes documents; older revisions of a service are ignored.
-  void TakeDocuments(const control::ChangesReply& changes);
-  void TakeFleet(const std::vector<fleet::FleetMember>& members, bool settled);
-  /// The service called `name`, or the one that runs a model called so.
+  /// Applies documents; older revisions of a service are ignored.
+  void UpdateDocuments(const control::ChangesReply& changes);
+  void UpdateFleet(const std::vector<fleet::FleetMember>& members,
+                   bool settled);
+  /// Returns the service called `name`, or the one that serves a model of that
+  /// name.
   std::optional<KnownService> FindService(std::string_view name) const;
   std::vector<KnownService> Services() const;
   std::uint64_t Revision() const;
-  /// Waits until at least this revision is known; false on timeout.
+  /// Waits until this revision or a later one is known; false on timeout.
   bool WaitForRevision(std::uint64_t revision, Duration wait);
 
   std::optional<std::string> Choose(const RouteQuery& query);
@@ -46,7 +48,7 @@
   void MarkLeaving(std::string_view gate);
   std::vector<GateView> View() const;
   void CountRequest(std::string_view service);
-  bool TryRepeat(std::string_view service);
+  bool TryRetry(std::string_view service);
 
  private:
   mutable std::mutex mutex;
--- a/src/entry/internal/batchapi.cpp
+++ b/src/entry/internal/batchapi.cpp
@@ -19,7 +19,8 @@
 constexpr std::string_view kOutputPrefix = "output-";
 constexpr std::string_view kErrorPrefix = "errors-";
 
-/// The end of the chunk that begins at `start`: whole lines only.
+/// Returns the end of the chunk that begins at `start`; a chunk holds whole
+/// lines only.
 std::size_t ChunkEnd(std::string_view content, std::size_t start) {
   if (content.size() - start <= kChunkBytes) {
     return content.size();
@@ -50,8 +51,8 @@
   const std::size_t items = jobs::CheckInputFile(
       content,
       {context.settings.max_job_items, context.settings.max_line_bytes});
-  // The id is made of the content, so a resend of the whole file is the same
-  // file.
+  // The id is derived from the content, so uploading the same file again gives
+  // the same id.
   const std::string id =
       "file-" + Sha256Hex(caller.team + "\n" + content).substr(0, kIdDigits);
   std::size_t start = 0;
@@ -63,7 +64,7 @@
                                    content.substr(start, end - start),
                                    end == content.size(),
                                    0};
-    control::RequireOk(context.control.Run(chunk, kControlPatience));
+    control::RequireOk(context.control.Run(chunk, kControlCallTimeout));
     start = end;
   }
   SetJson(response, {{"id", id},
@@ -77,7 +78,7 @@
                      {"purpose", "batch"}});
 }
 
-/// Streams parts until one is empty. `next` gives the next part.
+/// Streams parts until `next` returns none. `next` may return an empty part.
 void StreamParts(EntryContext& context, httplib::Response& response,
                  std::function<std::optional<std::string>()> next) {
   auto shared = std::make_shared<std::function<std::optional<std::string>()>>(
@@ -94,8 +95,9 @@
           }
           return part->empty() || sink.write(part->data(), part->size());
         } catch (const ResultError&) {
-          return false;  // The connection closes without its last chunk:
-                         // visibly cut.
+          // The connection closes without its last chunk, which shows the
+          // caller that the answer is truncated.
+          return false;
         }
       });
 }
@@ -103,23 +105,24 @@
 void StreamResults(EntryContext& context, const std::string& team,
                    const std::string& job, bool errors,
                    httplib::Response& response) {
-  // The first part is read at once, so that an unknown job is a clean error.
+  // The first part is read before the response starts, so that an unknown job
+  // gives a proper error response.
   const auto read = [&context, team, job, errors](std::uint32_t from) {
     const auto reply = context.control.Ask(
-        control::QueryResults{job, team, errors, from}, kControlPatience);
+        control::QueryResults{job, team, errors, from}, kControlCallTimeout);
     control::RequireOk(reply);
     return DecodeMessage<control::ResultsReply>(reply.body);
   };
   auto part = std::make_shared<control::ResultsReply>(read(0));
-  auto over = std::make_shared<bool>(false);
+  auto finished = std::make_shared<bool>(false);
   StreamParts(context, response,
-              [read, part, over]() -> std::optional<std::string> {
-                if (*over) {
+              [read, part, finished]() -> std::optional<std::string> {
+                if (*finished) {
                   return std::nullopt;
                 }
                 std::string lines = std::move(part->lines);
                 if (part->next_item >= part->items) {
-                  *over = true;
+                  *finished = true;
                 } else {
                   *part = read(part->next_item);
                 }
@@ -131,7 +134,7 @@
                 const std::string& file, httplib::Response& response) {
   const auto read = [&context, team, file](std::uint64_t at) {
     const auto reply = context.control.Ask(control::QueryFile{file, team, at},
-                                           kControlPatience);
+                                           kControlCallTimeout);
     control::RequireOk(reply);
     return DecodeMessage<control::FileReply>(reply.body);
   };
@@ -178,7 +181,7 @@
   return "in_progress";
 }
 
-nlohmann::json ShowJob(const jobs::JobSummary& job) {
+nlohmann::json JobToJson(const jobs::JobSummary& job) {
   const jobs::JobRequest& request = job.request;
   nlohmann::json shown = {
       {"id", request.id},
@@ -256,21 +259,21 @@
   command.request.keep_days = service->document.keep_results_days;
   command.request.repeatable = work->repeatable;
   const statemachine::CommandReply reply =
-      context.control.Run(command, kControlPatience);
+      context.control.Run(command, kControlCallTimeout);
   control::RequireOk(reply);
   context.metrics.Add("http_batches_total");
-  SetJson(response, ShowJob(DecodeMessage<jobs::JobSummary>(reply.body)));
+  SetJson(response, JobToJson(DecodeMessage<jobs::JobSummary>(reply.body)));
 }
 
 void ListBatches(EntryContext& context, const httplib::Request& request,
                  httplib::Response& response) {
   const auto reply = context.control.Ask(
-      control::QueryJobs{ReadCaller(request).team}, kControlPatience);
+      control::QueryJobs{ReadCaller(request).team}, kControlCallTimeout);
   control::RequireOk(reply);
   nlohmann::json list = nlohmann::json::array();
   for (const auto& job :
        DecodeMessage<std::vector<jobs::JobSummary>>(reply.body)) {
-    list.push_back(ShowJob(job));
+    list.push_back(JobToJson(job));
   }
   SetJson(response, {{"object", "list"}, {"data", list}, {"has_more", false}});
 }
@@ -283,27 +286,27 @@
   server.Get(R"(/v1/files/([^/]+)/content)", guarded(ReadContent));
   server.Post("/v1/batches", guarded(CreateBatch));
   server.Get("/v1/batches", guarded(ListBatches));
-  server.Get(
-      R"(/v1/batches/([^/]+))",
-      guarded([](EntryContext& shared, const httplib::Request& request,
-                 httplib::Response& response) {
-        const auto reply =
-            shared.control.Ask(control::QueryJob{request.matches[1].str(),
-                                                 ReadCaller(request).team},
-                               kControlPatience);
-        control::RequireOk(reply);
-        SetJson(response, ShowJob(DecodeMessage<jobs::JobSummary>(reply.body)));
-      }));
+  server.Get(R"(/v1/batches/([^/]+))",
+             guarded([](EntryContext& shared, const httplib::Request& request,
+                        httplib::Response& response) {
+               const auto reply = shared.control.Ask(
+                   control::QueryJob{request.matches[1].str(),
+                                     ReadCaller(request).team},
+                   kControlCallTimeout);
+               control::RequireOk(reply);
+               SetJson(response,
+                       JobToJson(DecodeMessage<jobs::JobSummary>(reply.body)));
+             }));
   server.Post(R"(/v1/batches/([^/]+)/cancel)",
               guarded([](EntryContext& shared, const httplib::Request& request,
                          httplib::Response& response) {
                 const auto reply = shared.control.Run(
                     statemachine::CancelJob{request.matches[1].str(),
                                             ReadCaller(request).team, 0},
-                    kControlPatience);
+                    kControlCallTimeout);
                 control::RequireOk(reply);
                 SetJson(response,
-                        ShowJob(DecodeMessage<jobs::JobSummary>(reply.body)));
+                        JobToJson(DecodeMessage<jobs::JobSummary>(reply.body)));
               }));
 }
 
--- a/src/entry/internal/batchapi.h
+++ b/src/entry/internal/batchapi.h
@@ -7,7 +7,7 @@
 
 namespace papayarack::entry {
 
-/// Adds the callers' batch API: files and batches.
+/// Registers the batch API for callers: files and batches.
 void AddBatchApi(httplib::Server& server, EntryContext& context);
 
 }  // namespace papayarack::entry
--- a/src/entry/internal/callercontext.cpp
+++ b/src/entry/internal/callercontext.cpp
@@ -8,12 +8,12 @@
 namespace papayarack::entry {
 namespace {
 
-constexpr std::size_t kLongestHeader = 256;
-constexpr std::int64_t kLongestDeadlineMs = 24LL * 3600 * 1000;
+constexpr std::size_t kMaxHeaderValueBytes = 256;
+constexpr std::int64_t kMaxDeadlineMs = 24LL * 3600 * 1000;
 
 std::string ReadHeader(const httplib::Request& request, const char* name) {
   std::string value = request.get_header_value(name);
-  if (value.size() > kLongestHeader) {
+  if (value.size() > kMaxHeaderValueBytes) {
     throw ResultError(ResultCode::kBadInput,
                       std::string("header ") + name + ": too long");
   }
@@ -25,7 +25,7 @@
   const auto parsed =
       std::from_chars(text.data(), text.data() + text.size(), value);
   if (parsed.ec != std::errc() || parsed.ptr != text.data() + text.size() ||
-      value <= 0 || value > kLongestDeadlineMs) {
+      value <= 0 || value > kMaxDeadlineMs) {
     throw ResultError(ResultCode::kBadInput,
                       std::string("header ") + header::kDeadline +
                           ": expected milliseconds above zero");
@@ -38,8 +38,8 @@
 CallerContext ReadCaller(const httplib::Request& request) {
   CallerContext caller;
   caller.request_id = ReadHeader(request, header::kRequestId);
-  // Ids are made here even when the caller sends one: two callers may send the
-  // same.
+  // An id sent by the caller only becomes a prefix: two callers may send the
+  // same one.
   caller.request_id =
       NewId(caller.request_id.empty() ? "req-" : caller.request_id + "-");
   caller.team = ReadHeader(request, header::kTeam);
--- a/src/entry/internal/callercontext.h
+++ b/src/entry/internal/callercontext.h
@@ -9,7 +9,7 @@
 
 namespace papayarack::entry {
 
-/// The headers of papayarack's own.
+/// HTTP headers that papayarack reads or sets.
 namespace header {
 inline constexpr const char* kTeam = "X-Papayarack-Team";
 inline constexpr const char* kWork = "X-Papayarack-Work";
@@ -20,7 +20,7 @@
 inline constexpr const char* kNotRun = "X-Papayarack-Not-Run";
 }  // namespace header
 
-/// What the headers of a request say.
+/// The request headers, parsed.
 struct CallerContext {
   std::string request_id;
   std::string team;
@@ -30,7 +30,8 @@
   std::optional<bool> repeatable;
 };
 
-/// Throws ResultError(kBadInput) naming the header that cannot be read.
+/// Parses the headers. Throws ResultError(kBadInput) that names an invalid
+/// header.
 CallerContext ReadCaller(const httplib::Request& request);
 
 }  // namespace papayarack::entry
--- a/src/entry/internal/elasticpool.cpp
+++ b/src/entry/internal/elasticpool.cpp
@@ -4,17 +4,17 @@
 
 namespace papayarack::entry {
 namespace {
-constexpr std::chrono::seconds kIdleFor{5};
+constexpr std::chrono::seconds kIdleTimeout{5};
 }  // namespace
 
 void ElasticPool::enqueue(std::function<void()> task) {
   std::unique_lock lock(this->mutex);
   this->changed.wait(lock, [this] {
     return this->stopping || this->idle > this->tasks.size() ||
-           this->threads < this->most;
+           this->threads < this->max_threads;
   });
   this->tasks.push_back(std::move(task));
-  if (this->idle < this->tasks.size() && this->threads < this->most) {
+  if (this->idle < this->tasks.size() && this->threads < this->max_threads) {
     ++this->threads;
     std::thread([this] { this->Run(); }).detach();
   }
@@ -25,12 +25,12 @@
   std::unique_lock lock(this->mutex);
   while (true) {
     ++this->idle;
-    const bool woken = this->changed.wait_for(lock, kIdleFor, [this] {
+    const bool notified = this->changed.wait_for(lock, kIdleTimeout, [this] {
       return this->stopping || !this->tasks.empty();
     });
     --this->idle;
     if (this->tasks.empty()) {
-      if (this->stopping || !woken) {
+      if (this->stopping || !notified) {
         break;
       }
       continue;
@@ -52,7 +52,7 @@
   std::unique_lock lock(this->mutex);
   this->stopping = true;
   this->changed.notify_all();
-  // What was accepted is served to its end; the library deletes this object
+  // Accepted connections are served to the end; the library deletes this object
   // afterwards.
   this->changed.wait(lock, [this] { return this->threads == 0; });
 }
--- a/src/entry/internal/elasticpool.h
+++ b/src/entry/internal/elasticpool.h
@@ -14,24 +14,25 @@
 
 namespace papayarack::entry {
 
-/// Threads for HTTP connections, one for each connection being served: made
-/// when needed, up to a bound, and ended when idle. The library's own pool is
-/// of fixed size with a queue without bound, so long streams and idle
-/// connections would make new callers wait without anybody knowing. When every
-/// thread is taken the accepting thread waits, and connections queue in the
-/// kernel's bounded backlog. Thread safety: as the library calls it.
+/// A pool with one thread per served HTTP connection: threads start on demand,
+/// up to a limit, and end when idle. The pool of the HTTP library has a fixed
+/// size and an unbounded queue, so long streams and idle connections would
+/// delay new callers without any sign of it. When all threads are busy the
+/// accepting thread waits, and connections queue in the bounded backlog of the
+/// kernel. Thread safety: as the library calls it.
 class ElasticPool : public httplib::TaskQueue {
  public:
-  /// `busy` shows other threads how many connections are served.
-  ElasticPool(std::size_t most, std::atomic<std::size_t>& busy)
-      : most(most), busy(busy) {}
+  /// `busy` receives the number of connections being served, for other threads
+  /// to read.
+  ElasticPool(std::size_t max_threads, std::atomic<std::size_t>& busy)
+      : max_threads(max_threads), busy(busy) {}
   void enqueue(std::function<void()> task) override;
   void shutdown() override;
 
  private:
   void Run();
 
-  std::size_t most;
+  std::size_t max_threads;
   std::atomic<std::size_t>& busy;
   std::mutex mutex;
   std::condition_variable changed;
--- a/src/entry/internal/entrycontext.h
+++ b/src/entry/internal/entrycontext.h
@@ -14,8 +14,8 @@
 
 namespace papayarack::entry {
 
-/// What the HTTP handlers of one entry share. Each member is safe from any
-/// thread.
+/// State shared by the HTTP handlers of one entry. Each member may be used from
+/// any thread.
 struct EntryContext {
   const Settings& settings;
   Metrics& metrics;
@@ -27,10 +27,10 @@
   std::atomic<std::size_t>& open_answers;
 };
 
-inline constexpr std::chrono::milliseconds kControlPatience{8000};
+inline constexpr std::chrono::milliseconds kControlCallTimeout{8000};
 
-/// Counts one answer in progress for as long as it lives; answers hold it by a
-/// shared pointer, since the HTTP library copies their providers.
+/// Counts one answer in progress for its lifetime. Answers hold it by a shared
+/// pointer, since the HTTP library copies content providers.
 class OpenAnswer {
  public:
   explicit OpenAnswer(EntryContext& context) : context(context) {
@@ -44,7 +44,7 @@
   EntryContext& context;
 };
 
-/// Makes HTTP handlers whose errors become error responses.
+/// Creates HTTP handlers that turn exceptions into error responses.
 class GuardedRoutes {
  public:
   using Handler = void (*)(EntryContext&, const httplib::Request&,
--- a/src/entry/internal/entryserver.cpp
+++ b/src/entry/internal/entryserver.cpp
@@ -39,7 +39,7 @@
     this->Configure();
     const Endpoint listen = ParseEndpoint(settings.http_listen, "/http_listen");
     introspection::BindHttp(this->server, listen, "/http_listen");
-    this->beater = std::thread([this] { this->BeatLoop(); });
+    this->heartbeat_thread = std::thread([this] { this->HeartbeatLoop(); });
     this->acceptor = std::thread([this] { this->server.listen_after_bind(); });
   }
 
@@ -47,7 +47,7 @@
     this->stopping = true;
     this->server.stop();
     this->acceptor.join();
-    this->beater.join();
+    this->heartbeat_thread.join();
   }
 
   void Configure() {
@@ -69,17 +69,17 @@
           if (!response.body.empty()) {
             return;
           }
-          const bool large = response.status == 413;
-          const bool absent = response.status == 404;
-          SetError(
-              response,
-              {large ? ResultCode::kTooLarge
-                     : (absent ? ResultCode::kNotFound : ResultCode::kBadInput),
-               large ? "the body is over the limit"
-                     : (absent ? "no such path: " + request.path
-                               : "the request is malformed"),
-               {}},
-              true);
+          const bool too_large = response.status == 413;
+          const bool not_found = response.status == 404;
+          SetError(response,
+                   {too_large ? ResultCode::kTooLarge
+                              : (not_found ? ResultCode::kNotFound
+                                           : ResultCode::kBadInput),
+                    too_large ? "the body is over the limit"
+                              : (not_found ? "no such path: " + request.path
+                                           : "the request is malformed"),
+                    {}},
+                   true);
         });
     AddOnlineApi(this->server, this->context);
     AddBatchApi(this->server, this->context);
@@ -88,10 +88,11 @@
 
   httplib::Server::HandlerResponse BeforeRouting(const httplib::Request&,
                                                  httplib::Response& response) {
-    // Near the bound, or leaving, a connection serves one request and closes,
-    // so that idle connections do not hold the threads that new callers need.
-    const bool crowded = this->busy * 4 > this->settings.http_threads * 3;
-    if (crowded || this->leaving) {
+    // When most threads are busy or this entry is shutting down, each
+    // connection serves one request and closes, so that idle connections do not
+    // occupy threads that new callers need.
+    const bool mostly_busy = this->busy * 4 > this->settings.http_threads * 3;
+    if (mostly_busy || this->leaving) {
       response.set_header("Connection", "close");
     }
     if (this->closing) {
@@ -112,7 +113,7 @@
     return httplib::Server::HandlerResponse::Unhandled;
   }
 
-  void BeatLoop() {
+  void HeartbeatLoop() {
     std::uint64_t fleet_version = 0;
     while (!this->stopping) {
       try {
@@ -120,7 +121,7 @@
           const auto reply =
               this->control.Ask(control::QueryChanges{0}, kControlTimeout);
           control::RequireOk(reply);
-          this->fleet.TakeDocuments(
+          this->fleet.UpdateDocuments(
               DecodeMessage<control::ChangesReply>(reply.body));
         }
         control::Heartbeat heartbeat;
@@ -135,11 +136,11 @@
             this->control.SendHeartbeat(heartbeat, kControlTimeout);
         control::RequireOk(reply);
         const auto body = DecodeMessage<control::HeartbeatReply>(reply.body);
-        this->fleet.TakeDocuments(body.documents);
+        this->fleet.UpdateDocuments(body.documents);
         if (body.fleet_version != fleet_version || !body.fleet_settled) {
-          this->fleet.TakeFleet(body.members, body.fleet_settled);
-          // An unsettled list is asked for again, until the new leader has
-          // heard everybody.
+          this->fleet.UpdateFleet(body.members, body.fleet_settled);
+          // An unsettled list is requested again, until the new leader has
+          // received a heartbeat from every process.
           fleet_version = body.fleet_settled ? body.fleet_version : 0;
         }
         this->last_control = MonotonicNow();
@@ -147,11 +148,11 @@
       } catch (const ResultError& error) {
         Log(LogLevel::kDebug, "heartbeat_failed", {{"reason", error.what()}});
       }
-      this->SleepUntilBeat();
+      this->SleepUntilHeartbeat();
     }
   }
 
-  void SleepUntilBeat() {
+  void SleepUntilHeartbeat() {
     constexpr std::chrono::milliseconds kStep{20};
     for (Duration slept{0}; slept < this->settings.heartbeat && !this->stopping;
          slept += kStep) {
@@ -174,7 +175,7 @@
   std::atomic<Time> last_control = Time{};
   EntryContext context;
   httplib::Server server;
-  std::thread beater;
+  std::thread heartbeat_thread;
   std::thread acceptor;
 };
 
--- a/src/entry/internal/fleetview.cpp
+++ b/src/entry/internal/fleetview.cpp
@@ -7,7 +7,7 @@
 
 namespace papayarack::entry {
 
-void FleetView::TakeDocuments(const control::ChangesReply& changes) {
+void FleetView::UpdateDocuments(const control::ChangesReply& changes) {
   const std::lock_guard lock(this->mutex);
   for (const documents::AcceptedDocument& accepted : changes.changes) {
     KnownService& known = this->services[accepted.service];
@@ -26,8 +26,8 @@
   this->revision_changed.notify_all();
 }
 
-void FleetView::TakeFleet(const std::vector<fleet::FleetMember>& members,
-                          bool settled) {
+void FleetView::UpdateFleet(const std::vector<fleet::FleetMember>& members,
+                            bool settled) {
   const std::lock_guard lock(this->mutex);
   this->router.SetFleet(members, settled);
 }
@@ -105,9 +105,9 @@
   this->budgets[std::string(service)].OnRequest();
 }
 
-bool FleetView::TryRepeat(std::string_view service) {
+bool FleetView::TryRetry(std::string_view service) {
   const std::lock_guard lock(this->mutex);
-  return this->budgets[std::string(service)].TryRepeat();
+  return this->budgets[std::string(service)].TryRetry();
 }
 
 }  // namespace papayarack::entry
--- a/src/entry/internal/httperror.h
+++ b/src/entry/internal/httperror.h
@@ -10,17 +10,18 @@
 
 namespace papayarack::entry {
 
-/// The error object that callers' client libraries parse, with the numbered
-/// code and whether the request was certainly not run.
+/// Returns the error object in the form that client libraries parse, with the
+/// numeric result code and whether the request was certainly not run.
 nlohmann::json ErrorBody(const Result& result, bool not_run);
 
-/// Fills a response with an error; Retry-After when there is advice on when.
+/// Fills a response with an error, and Retry-After if the result has a retry
+/// time.
 void SetError(httplib::Response& response, const Result& result, bool not_run);
 
-/// Sets a JSON answer.
+/// Sets a JSON body.
 void SetJson(httplib::Response& response, const nlohmann::json& body);
 
-/// Runs a handler; a ResultError or a malformed body becomes an error response.
+/// Runs a handler and turns its exceptions into an error response.
 void Guarded(httplib::Response& response, const std::function<void()>& handler);
 
 }  // namespace papayarack::entry
--- a/src/entry/internal/onlineapi.cpp
+++ b/src/entry/internal/onlineapi.cpp
@@ -18,26 +18,26 @@
 
 constexpr std::size_t kPrefixBytes = 256;
 constexpr std::size_t kBytesPerToken = 4;
-constexpr std::int64_t kClaimKeptMs = 24LL * 3600 * 1000;
-constexpr std::size_t kLargestKeptAnswer = 256U << 10U;
+constexpr std::int64_t kClaimRetentionMs = 24LL * 3600 * 1000;
+constexpr std::size_t kMaxStoredAnswerBytes = 256U << 10U;
 
-/// One caller's request with what the document says of it.
-struct Prepared {
+/// One caller's request, completed with the settings of its service document.
+struct PreparedRequest {
   CallerContext caller;
   gate::OnlineRequest request;
   bool repeatable = true;
   std::uint64_t prefix_hash = 0;
 };
 
-/// The claim of a request that may not be repeated, until its end is known to
-/// control.
+/// The claim on the idempotency key of a request that may not be repeated,
+/// until control has recorded its end.
 struct OpenClaim {
   std::string owner;
   std::string key;
   std::string claim_id;
 };
 
-void ApplyDocument(Prepared& prepared, const KnownService& service) {
+void ApplyDocument(PreparedRequest& prepared, const KnownService& service) {
   const documents::WorkKind* work = service.document.FindWork(
       prepared.caller.work, documents::WorkClass::kOnline);
   if (work == nullptr) {
@@ -55,8 +55,8 @@
   prepared.repeatable = prepared.caller.repeatable.value_or(work->repeatable);
 }
 
-/// The part of the prompt that callers share: the beginning of the first
-/// message or prompt.
+/// Hash of the part of the prompt that callers may share: the beginning of the
+/// first message or of the prompt.
 std::uint64_t PrefixHashOf(const nlohmann::json& body) {
   std::string prefix;
   if (body.contains("messages") && body["messages"].is_array() &&
@@ -68,9 +68,9 @@
   return prefix.empty() ? 0 : Hash64(prefix.substr(0, kPrefixBytes));
 }
 
-Prepared PrepareCompletion(EntryContext& context,
-                           const httplib::Request& http) {
-  Prepared prepared;
+PreparedRequest PrepareCompletion(EntryContext& context,
+                                  const httplib::Request& http) {
+  PreparedRequest prepared;
   prepared.caller = ReadCaller(http);
   const nlohmann::json body = ParseJson(http.body, "body");
   if (!body.is_object() || !body.contains("model") ||
@@ -100,8 +100,9 @@
   return prepared;
 }
 
-Prepared PreparePlain(EntryContext& context, const httplib::Request& http) {
-  Prepared prepared;
+PreparedRequest PreparePlain(EntryContext& context,
+                             const httplib::Request& http) {
+  PreparedRequest prepared;
   prepared.caller = ReadCaller(http);
   const std::string name = http.matches[1].str();
   const std::optional<KnownService> service = context.fleet.FindService(name);
@@ -120,11 +121,13 @@
   return prepared;
 }
 
-/// Claims the key of a request that may not be repeated, before its first byte
-/// goes anywhere. Empty when no claim is needed. Throws when the request must
-/// not go ahead; `answered` is filled when an earlier answer stands.
-std::optional<OpenClaim> Claim(EntryContext& context, const Prepared& prepared,
-                               std::optional<claims::ClaimOutcome>& answered) {
+/// Claims the idempotency key of a request that may not be repeated, before
+/// anything is sent to a gate. Returns nothing if no claim is needed. Throws if
+/// the request must not proceed; sets `answered` if an earlier answer exists
+/// for the key.
+std::optional<OpenClaim> ClaimKey(
+    EntryContext& context, const PreparedRequest& prepared,
+    std::optional<claims::ClaimOutcome>& answered) {
   if (prepared.repeatable || prepared.caller.idempotency_key.empty()) {
     return std::nullopt;
   }
@@ -137,10 +140,10 @@
   command.request.content_hash =
       Sha256Hex(prepared.request.method + prepared.request.service +
                 prepared.request.target + prepared.request.body);
-  command.request.keep_ms = kClaimKeptMs;
+  command.request.keep_ms = kClaimRetentionMs;
   command.request.deadline_ms = prepared.request.deadline_ms;
   const statemachine::CommandReply reply =
-      context.control.Run(command, kControlPatience);
+      context.control.Run(command, kControlCallTimeout);
   control::RequireOk(reply);
   auto outcome = DecodeMessage<claims::ClaimOutcome>(reply.body);
   const auto code = static_cast<ResultCode>(outcome.code);
@@ -169,13 +172,13 @@
       not_run,
       status,
       content_type,
-      answer.size() <= kLargestKeptAnswer ? answer : std::string()};
+      answer.size() <= kMaxStoredAnswerBytes ? answer : std::string()};
   try {
     context.control.Run(statemachine::EndClaim{std::move(end)},
-                        kControlPatience);
+                        kControlCallTimeout);
   } catch (const ResultError& error) {
-    // The claim stays running and becomes unknown at its deadline: safe, if
-    // less helpful.
+    // The claim stays running and becomes unknown at its deadline, which is
+    // safe.
     Log(LogLevel::kWarn, "claim_end_lost",
         {{"key", claim->key}, {"reason", error.what()}});
   }
@@ -188,10 +191,10 @@
            {});
 }
 
-void AnswerWhole(EntryContext& context, Prepared prepared,
-                 httplib::Response& response) {
+void AnswerBuffered(EntryContext& context, PreparedRequest prepared,
+                    httplib::Response& response) {
   std::optional<claims::ClaimOutcome> answered;
-  const std::optional<OpenClaim> claim = Claim(context, prepared, answered);
+  const std::optional<OpenClaim> claim = ClaimKey(context, prepared, answered);
   if (answered.has_value()) {
     response.status = answered->status;
     response.set_content(answered->answer, answered->content_type);
@@ -203,12 +206,12 @@
   CallHead head;
   std::string body;
   while (true) {
-    CallPiece piece = call.Next();
-    if (auto* begin = std::get_if<CallHead>(&piece)) {
+    CallEvent call_event = call.Next();
+    if (auto* begin = std::get_if<CallHead>(&call_event)) {
       head = std::move(*begin);
-    } else if (auto* bytes = std::get_if<CallBytes>(&piece)) {
+    } else if (auto* bytes = std::get_if<CallBytes>(&call_event)) {
       body += bytes->bytes;
-    } else if (auto* failed = std::get_if<CallFailed>(&piece)) {
+    } else if (auto* failed = std::get_if<CallFailed>(&call_event)) {
       EndFailedClaim(context, claim, *failed);
       SetError(response, failed->result, failed->not_run);
       return;
@@ -222,40 +225,41 @@
   response.set_content(body, head.content_type);
 }
 
-/// A streamed answer between two calls of the HTTP library.
+/// State of a streamed answer between two calls of its content provider.
 struct StreamState {
   explicit StreamState(EntryContext& context) : open(context) {}
   OpenAnswer open;
   std::unique_ptr<OnlineCall> call;
   std::optional<OpenClaim> claim;
-  std::string kept;
+  std::string stored_answer;
   CallHead head;
   bool ended = false;
 };
 
-bool WritePiece(EntryContext& context, StreamState& state,
+bool WriteEvent(EntryContext& context, StreamState& state,
                 httplib::DataSink& sink) {
-  CallPiece piece = state.call->Next();
+  CallEvent call_event = state.call->Next();
   return std::visit(
       Overloaded{
           [](CallHead&) { return true; },
           [&](CallBytes& bytes) {
             if (state.claim.has_value() &&
-                state.kept.size() <= kLargestKeptAnswer) {
-              state.kept += bytes.bytes;
+                state.stored_answer.size() <= kMaxStoredAnswerBytes) {
+              state.stored_answer += bytes.bytes;
             }
             return sink.write(bytes.bytes.data(), bytes.bytes.size());
           },
-          [&](CallWhole&) {
+          [&](CallComplete&) {
             state.ended = true;
             EndClaim(context, state.claim, claims::ClaimState::kAnswered, false,
-                     state.head.status, state.head.content_type, state.kept);
+                     state.head.status, state.head.content_type,
+                     state.stored_answer);
             sink.done();
             return true;
           },
           [&](CallFailed& failed) {
-            // The caller sees an error event and no closing event: never a cut
-            // answer as if whole.
+            // The caller receives an error event and no final event, so a
+            // truncated answer never looks complete.
             state.ended = true;
             EndFailedClaim(context, state.claim, failed);
             const std::string event =
@@ -265,14 +269,14 @@
             return false;
           },
       },
-      piece);
+      call_event);
 }
 
-void AnswerStream(EntryContext& context, Prepared prepared,
+void AnswerStream(EntryContext& context, PreparedRequest prepared,
                   httplib::Response& response) {
   std::optional<claims::ClaimOutcome> answered;
   auto state = std::make_shared<StreamState>(context);
-  state->claim = Claim(context, prepared, answered);
+  state->claim = ClaimKey(context, prepared, answered);
   if (answered.has_value()) {
     response.status = answered->status;
     response.set_content(answered->answer, answered->content_type);
@@ -281,7 +285,7 @@
   state->call = std::make_unique<OnlineCall>(
       context.fleet, context.client, context.metrics,
       std::move(prepared.request), prepared.repeatable, prepared.prefix_hash);
-  CallPiece first = state->call->Next();
+  CallEvent first = state->call->Next();
   if (const auto* failed = std::get_if<CallFailed>(&first)) {
     EndFailedClaim(context, state->claim, *failed);
     SetError(response, failed->result, failed->not_run);
@@ -294,7 +298,7 @@
   response.set_chunked_content_provider(
       state->head.content_type,
       [&context, state](std::size_t, httplib::DataSink& sink) {
-        return WritePiece(context, *state, sink);
+        return WriteEvent(context, *state, sink);
       },
       [&context, state](bool) {
         if (!state->ended) {
@@ -305,19 +309,19 @@
       });
 }
 
-void Answer(EntryContext& context, Prepared prepared,
+void Answer(EntryContext& context, PreparedRequest prepared,
             httplib::Response& response) {
   const OpenAnswer open(context);
   response.set_header(header::kRequestId, prepared.caller.request_id);
-  const Time came = MonotonicNow();
+  const Time received_at = MonotonicNow();
   if (prepared.request.stream) {
     AnswerStream(context, std::move(prepared), response);
   } else {
-    AnswerWhole(context, std::move(prepared), response);
+    AnswerBuffered(context, std::move(prepared), response);
   }
   context.metrics.Add("http_online_requests_total");
   context.metrics.Observe("http_online_first_answer_seconds",
-                          ToSeconds(MonotonicNow() - came));
+                          ToSeconds(MonotonicNow() - received_at));
 }
 
 }  // namespace
--- a/src/entry/internal/onlineapi.h
+++ b/src/entry/internal/onlineapi.h
@@ -7,7 +7,8 @@
 
 namespace papayarack::entry {
 
-/// Adds the callers' online API: completions, models and plain services.
+/// Registers the online API for callers: completions, models and plain
+/// services.
 void AddOnlineApi(httplib::Server& server, EntryContext& context);
 
 }  // namespace papayarack::entry
--- a/src/entry/internal/onlinecall.cpp
+++ b/src/entry/internal/onlinecall.cpp
@@ -10,14 +10,14 @@
 namespace papayarack::entry {
 namespace {
 
-constexpr std::uint32_t kMostAttempts = 4;
-constexpr std::uint32_t kMostReconnects = 3;
-constexpr std::uint32_t kMostStaleTries = 3;
-constexpr std::chrono::milliseconds kReconnectPause{50};
+constexpr std::uint32_t kMaxCallAttempts = 4;
+constexpr std::uint32_t kMaxReconnects = 3;
+constexpr std::uint32_t kMaxStaleRetries = 3;
+constexpr std::chrono::milliseconds kReconnectDelay{50};
 constexpr std::chrono::milliseconds kStaleWait{1500};
-/// Beyond the deadline the gate itself ends the request; this waits for its
-/// word.
-constexpr Duration kGrace = std::chrono::milliseconds(500);
+/// The gate itself ends the request at its deadline; the extra time lets its
+/// message arrive.
+constexpr Duration kDeadlineGrace = std::chrono::milliseconds(500);
 
 }  // namespace
 
@@ -36,9 +36,10 @@
 }
 
 OnlineCall::~OnlineCall() {
-  if (!this->over && !this->gate.empty()) {
-    // The caller is gone. Resetting the stream alone would look like a lost
-    // connection, after which the gate keeps the answer for us; so say it.
+  if (!this->finished && !this->gate.empty()) {
+    // The caller has disconnected. Resetting the stream alone would look like a
+    // lost connection, after which the gate keeps the answer for a reconnect;
+    // so send an explicit cancellation.
     const std::string address = this->fleet.AddressOf(this->gate);
     if (!address.empty()) {
       this->client.Call(ParseEndpoint(address, "gate"), gate::path::kCancel,
@@ -48,25 +49,26 @@
     }
     this->metrics.Add("online_callers_gone_total");
   }
-  this->LeaveGate();
+  this->ReleaseGate();
 }
 
 Duration OnlineCall::TimeLeft() const {
   return this->deadline - MonotonicNow();
 }
 
-CallPiece OnlineCall::Fail(Result result, bool not_run) {
-  this->over = true;
-  this->LeaveGate();
+CallEvent OnlineCall::Fail(Result result, bool not_run) {
+  this->finished = true;
+  this->ReleaseGate();
   if (this->maybe_ran && Describe(result.code).not_run) {
-    // "Not run" must be true of the request, not just of its last attempt.
+    // "Not run" must hold for the request as a whole, not just for its last
+    // attempt.
     result.code = ResultCode::kUnknownOutcome;
     result.text = "an earlier attempt may have run; then: " + result.text;
   }
   return CallFailed{std::move(result), not_run && !this->maybe_ran};
 }
 
-void OnlineCall::LeaveGate() {
+void OnlineCall::ReleaseGate() {
   if (this->gate.empty()) {
     return;
   }
@@ -77,7 +79,7 @@
   this->gate.clear();
 }
 
-bool OnlineCall::Begin() {
+bool OnlineCall::StartAttempt() {
   const RouteQuery query{this->request.service, this->prefix_hash, this->tried};
   std::optional<std::string> chosen = this->fleet.Choose(query);
   if (!chosen.has_value()) {
@@ -92,7 +94,7 @@
 }
 
 void OnlineCall::Connect() {
-  this->ring = std::make_shared<WireRing>(kRing);
+  this->ring = std::make_shared<PeerEventRing>(kRingCapacity);
   this->sent = MonotonicNow();
   this->request.revision = this->fleet.Revision();
   this->request.have_messages = this->received;
@@ -102,8 +104,8 @@
              .count());
   transport::CallHandlers handlers;
   handlers.on_message = [ring = this->ring](std::string message) {
-    // A caller who reads so slowly that the ring fills loses the answer, not
-    // the I/O thread.
+    // If a slow caller lets the ring fill up, the call fails instead of
+    // blocking the I/O thread.
     if (!ring->TryPush(std::move(message))) {
       ring->Close();
     }
@@ -118,17 +120,18 @@
       gate::path::kOnline, EncodeMessage(this->request), std::move(handlers));
 }
 
-CallPiece OnlineCall::Next() {
+CallEvent OnlineCall::Next() {
   while (true) {
-    if (this->gate.empty() && !this->Begin()) {
+    if (this->gate.empty() && !this->StartAttempt()) {
       return this->Fail(
           {ResultCode::kNoUpstream,
            "no upstream of " + this->request.service + " can take the request",
            std::chrono::milliseconds(500)},
           true);
     }
-    const Duration wait = std::max(this->TimeLeft() + kGrace, Duration(1));
-    const std::optional<WireEvent> event = this->ring->Pop(wait);
+    const Duration wait =
+        std::max(this->TimeLeft() + kDeadlineGrace, Duration(1));
+    const std::optional<PeerEvent> event = this->ring->Pop(wait);
     if (!event.has_value()) {
       const bool slow = this->ring->Closed();
       return this->Fail(
@@ -137,22 +140,23 @@
            {}},
           false);
     }
-    if (std::optional<CallPiece> piece = this->OnWire(*event)) {
-      return std::move(*piece);
+    if (std::optional<CallEvent> call_event = this->OnPeerEvent(*event)) {
+      return std::move(*call_event);
     }
   }
 }
 
-std::optional<CallPiece> OnlineCall::OnWire(const WireEvent& event) {
-  return std::visit(
-      Overloaded{[this](const std::string& message) {
-                   return this->OnMessage(message);
-                 },
-                 [this](transport::CallEnd how) { return this->OnLost(how); }},
-      event);
+std::optional<CallEvent> OnlineCall::OnPeerEvent(const PeerEvent& event) {
+  return std::visit(Overloaded{[this](const std::string& message) {
+                                 return this->OnMessage(message);
+                               },
+                               [this](transport::CallEnd how) {
+                                 return this->OnCallEnd(how);
+                               }},
+                    event);
 }
 
-std::optional<CallPiece> OnlineCall::OnMessage(const std::string& bytes) {
+std::optional<CallEvent> OnlineCall::OnMessage(const std::string& bytes) {
   gate::GateMessage message;
   try {
     message = DecodeVariant<gate::GateMessage>(bytes);
@@ -163,32 +167,32 @@
   return std::visit(
       Overloaded{
           [this](gate::Refused& refused) { return this->OnRefused(refused); },
-          [this](gate::AnswerHead& head) -> std::optional<CallPiece> {
+          [this](gate::AnswerHead& head) -> std::optional<CallEvent> {
             this->fleet.Report(this->gate, RouteOutcome::kAnswered,
                                MonotonicNow() - this->sent);
             this->delivered = true;
             return CallHead{head.status, std::move(head.content_type)};
           },
-          [](gate::AnswerBytes& body) -> std::optional<CallPiece> {
+          [](gate::AnswerBytes& body) -> std::optional<CallEvent> {
             return CallBytes{std::move(body.bytes)};
           },
-          [this](gate::AnswerEnd& end) { return this->OnEnd(end); },
+          [this](gate::AnswerEnd& end) { return this->OnAnswerEnd(end); },
       },
       message);
 }
 
-std::optional<CallPiece> OnlineCall::OnRefused(const gate::Refused& refused) {
+std::optional<CallEvent> OnlineCall::OnRefused(const gate::Refused& refused) {
   const auto code = static_cast<ResultCode>(refused.code);
   const Result result{code, refused.text,
                       std::chrono::milliseconds(refused.retry_after_ms)};
   this->metrics.Add("online_gate_refusals_total");
   if (code == ResultCode::kStaleRevision &&
-      this->stale_tries++ < kMostStaleTries) {
-    // The gate knows a newer document. Once we know it too the request is
-    // decided anew.
+      this->stale_retries++ < kMaxStaleRetries) {
+    // The gate has a newer document. Wait until this entry has it too, then
+    // route the request again.
     this->fleet.WaitForRevision(
         refused.revision, std::min<Duration>(kStaleWait, this->TimeLeft()));
-    this->LeaveGate();
+    this->ReleaseGate();
     return std::nullopt;
   }
   if (code == ResultCode::kLeaving) {
@@ -197,51 +201,52 @@
   const bool fault = code == ResultCode::kNoUpstream;
   this->fleet.Report(
       this->gate, fault ? RouteOutcome::kFailed : RouteOutcome::kRefused, {});
-  return this->Again(result, Describe(code).not_run);
+  return this->RetryOrFail(result, Describe(code).not_run);
 }
 
-std::optional<CallPiece> OnlineCall::OnEnd(const gate::AnswerEnd& end) {
+std::optional<CallEvent> OnlineCall::OnAnswerEnd(const gate::AnswerEnd& end) {
   const auto code = static_cast<ResultCode>(end.code);
   if (code == ResultCode::kOk) {
-    this->over = true;
-    this->LeaveGate();
-    return CallWhole{};
+    this->finished = true;
+    this->ReleaseGate();
+    return CallComplete{};
   }
   if (code == ResultCode::kUpstreamFailed) {
     this->fleet.Report(this->gate, RouteOutcome::kFailed, {});
   }
-  return this->Again({code, end.text, {}}, false);
+  return this->RetryOrFail({code, end.text, {}}, false);
 }
 
-std::optional<CallPiece> OnlineCall::OnLost(transport::CallEnd how) {
+std::optional<CallEvent> OnlineCall::OnCallEnd(transport::CallEnd how) {
   this->call = 0;
   if (how == transport::CallEnd::kNotSent && this->received == 0 &&
       this->reconnects == 0) {
     this->fleet.Report(this->gate, RouteOutcome::kFailed, {});
-    return this->Again(
+    return this->RetryOrFail(
         {ResultCode::kNoUpstream, "the gate cannot be reached", {}}, true);
   }
-  // The request may be running. The gate keeps its answer a while: take it up
-  // on a new connection.
-  if (this->reconnects++<kMostReconnects&& this->TimeLeft()> Duration(0)) {
+  // The request may be running. The gate keeps its answer for a while: resume
+  // it on a new connection.
+  if (this->reconnects++<kMaxReconnects&& this->TimeLeft()> Duration(0)) {
     this->metrics.Add("online_reconnects_total");
-    std::this_thread::sleep_for(kReconnectPause);
+    std::this_thread::sleep_for(kReconnectDelay);
     this->Connect();
     return std::nullopt;
   }
   this->fleet.Report(this->gate, RouteOutcome::kFailed, {});
-  return this->Again(
+  return this->RetryOrFail(
       {ResultCode::kUnknownOutcome, "the gate went away with the request", {}},
       false);
 }
 
-std::optional<CallPiece> OnlineCall::Again(const Result& why, bool not_run) {
+std::optional<CallEvent> OnlineCall::RetryOrFail(const Result& why,
+                                                 bool not_run) {
   this->maybe_ran = this->maybe_ran || !not_run;
-  const bool harmless = not_run || (this->repeatable && !this->delivered);
+  const bool safe = not_run || (this->repeatable && !this->delivered);
   const bool in_time = this->TimeLeft() > Duration(0);
-  const bool left = this->request.attempt < kMostAttempts;
-  if (harmless && in_time && left &&
-      this->fleet.TryRepeat(this->request.service)) {
+  const bool attempts_left = this->request.attempt < kMaxCallAttempts;
+  if (safe && in_time && attempts_left &&
+      this->fleet.TryRetry(this->request.service)) {
     this->metrics.Add("online_repeats_total");
     Log(LogLevel::kInfo, "repeat",
         {{"request", this->request.id},
@@ -249,7 +254,7 @@
          {"gate", this->gate},
          {"why", why.text}});
     this->tried.push_back(this->gate);
-    this->LeaveGate();
+    this->ReleaseGate();
     return std::nullopt;
   }
   return this->Fail(why, not_run);
--- a/src/entry/internal/operatorapi.cpp
+++ b/src/entry/internal/operatorapi.cpp
@@ -10,20 +10,20 @@
 namespace papayarack::entry {
 namespace {
 
-control::StatusReply AskStatus(EntryContext& context) {
+control::StatusReply FetchStatus(EntryContext& context) {
   const auto reply =
-      context.control.Ask(control::QueryStatus{}, kControlPatience);
+      context.control.Ask(control::QueryStatus{}, kControlCallTimeout);
   control::RequireOk(reply);
   return DecodeMessage<control::StatusReply>(reply.body);
 }
 
-/// A process must have every revision of the services it deals with: an entry
-/// all of them, a side those of its own service.
-bool Concerns(const fleet::FleetMember& member, std::string_view service) {
+/// Whether a process needs the documents of a service: an entry those of all
+/// services, a gate those of its own service.
+bool NeedsDocument(const fleet::FleetMember& member, std::string_view service) {
   return member.report.role == "entry" || member.report.service == service;
 }
 
-nlohmann::json ShowMember(const fleet::FleetMember& member) {
+nlohmann::json MemberToJson(const fleet::FleetMember& member) {
   return {
       {"name", member.report.name},       {"role", member.report.role},
       {"zone", member.report.zone},       {"service", member.report.service},
@@ -33,12 +33,12 @@
       {"leaving", member.leaving},        {"quiet_ms", member.quiet_ms}};
 }
 
-nlohmann::json ShowService(const documents::AcceptedDocument& accepted,
-                           const control::StatusReply& status) {
+nlohmann::json ServiceToJson(const documents::AcceptedDocument& accepted,
+                             const control::StatusReply& status) {
   nlohmann::json in_force = nlohmann::json::array();
   nlohmann::json differs = nlohmann::json::array();
   for (const fleet::FleetMember& member : status.members) {
-    if (!Concerns(member, accepted.service)) {
+    if (!NeedsDocument(member, accepted.service)) {
       continue;
     }
     if (member.report.revision >= accepted.revision) {
@@ -75,7 +75,7 @@
   const statemachine::CommandReply reply = context.control.Run(
       statemachine::SubmitDocument{name, document.version,
                                    documents::CanonicalText(body)},
-      kControlPatience);
+      kControlCallTimeout);
   if (reply.Code() == ResultCode::kConflict) {
     const auto outcome = DecodeMessage<documents::SubmitOutcome>(reply.body);
     nlohmann::json conflict =
@@ -103,11 +103,11 @@
 
 void GetService(EntryContext& context, const httplib::Request& request,
                 httplib::Response& response) {
-  const control::StatusReply status = AskStatus(context);
+  const control::StatusReply status = FetchStatus(context);
   const std::string name = request.matches[1].str();
   for (const documents::AcceptedDocument& accepted : status.documents) {
     if (accepted.service == name) {
-      SetJson(response, ShowService(accepted, status));
+      SetJson(response, ServiceToJson(accepted, status));
       return;
     }
   }
@@ -116,14 +116,14 @@
 
 void GetStatus(EntryContext& context, const httplib::Request&,
                httplib::Response& response) {
-  const control::StatusReply status = AskStatus(context);
+  const control::StatusReply status = FetchStatus(context);
   nlohmann::json services = nlohmann::json::array();
   for (const documents::AcceptedDocument& accepted : status.documents) {
-    services.push_back(ShowService(accepted, status));
+    services.push_back(ServiceToJson(accepted, status));
   }
   nlohmann::json members = nlohmann::json::array();
   for (const fleet::FleetMember& member : status.members) {
-    members.push_back(ShowMember(member));
+    members.push_back(MemberToJson(member));
   }
   SetJson(response, {{"revision", status.revision},
                      {"control_leader", status.leader},
--- a/src/entry/internal/operatorapi.h
+++ b/src/entry/internal/operatorapi.h
@@ -7,7 +7,8 @@
 
 namespace papayarack::entry {
 
-/// Adds the operators' API: service documents and the state in their terms.
+/// Registers the API for operators: service documents and the status of the
+/// fleet.
 void AddOperatorApi(httplib::Server& server, EntryContext& context);
 
 }  // namespace papayarack::entry
--- a/src/entry/internal/retrybudget.cpp
+++ b/src/entry/internal/retrybudget.cpp
@@ -5,10 +5,10 @@
 namespace papayarack::entry {
 
 void RetryBudget::OnRequest() {
-  this->tokens = std::min(kLargest, this->tokens + kPerRequest);
+  this->tokens = std::min(kMaxTokens, this->tokens + kTokensPerRequest);
 }
 
-bool RetryBudget::TryRepeat() {
+bool RetryBudget::TryRetry() {
   if (this->tokens < 1.0) {
     return false;
   }
--- a/src/entry/internal/routercore.cpp
+++ b/src/entry/internal/routercore.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr double kSmoothing = 0.2;
-constexpr std::uint32_t kFailuresUntilAside = 2;
-constexpr std::uint32_t kSamplesUntilJudged = 20;
-constexpr Duration kAside = std::chrono::seconds(2);
-constexpr double kZoneFull = 0.9;
-constexpr double kAffinityLoad = 0.75;
+constexpr std::uint32_t kFailuresUntilSetAside = 2;
+constexpr std::uint32_t kMinLatencySamples = 20;
+constexpr Duration kSetAsideDuration = std::chrono::seconds(2);
+constexpr double kZoneFullLoad = 0.9;
+constexpr double kMaxAffinityLoad = 0.75;
 constexpr double kMinSlowMs = 20.0;
 
 }  // namespace
@@ -35,7 +35,7 @@
       gate.aside = false;
       gate.samples = 0;
     }
-    // Leaving, once heard from any side, is not undone in the same incarnation.
+    // A gate known to be leaving stays so until it restarts.
     gate.leaving = member.leaving || (gate.leaving && !restarted);
     gate.alive = member.alive;
     gate.report = member.report;
@@ -71,11 +71,11 @@
       continue;
     }
     const bool closed = gate.aside && now < gate.aside_until;
-    // Let back by trickle: one request at a time until one is answered.
-    const bool on_trial = gate.aside && gate.in_flight > 0;
-    (closed || on_trial ? aside : open).push_back(name);
+    // Readmitted by trial requests: one at a time until one is answered.
+    const bool trial_running = gate.aside && gate.in_flight > 0;
+    (closed || trial_running ? aside : open).push_back(name);
   }
-  // Better a gate that was set aside than none.
+  // If all gates are set aside, one of them is better than none.
   return open.empty() ? aside : open;
 }
 
@@ -85,15 +85,16 @@
   for (const std::string& name : candidates) {
     const Gate& gate = this->gates.find(name)->second;
     if (gate.report.zone == this->options.zone &&
-        this->LoadOf(gate) < kZoneFull) {
+        this->LoadOf(gate) < kZoneFullLoad) {
       own.push_back(name);
     }
   }
   return own.empty() ? candidates : own;
 }
 
-/// The first gates, in an order that all entries share, that hold what is in
-/// flight at the packing target, and one more for the next burst.
+/// For an engine service, returns the first gates, in an order that is the same
+/// on all entries, that can serve the requests in flight at the target
+/// utilization, plus one for the next burst.
 std::vector<std::string> RouterCore::ActiveSet(
     std::vector<std::string> names) const {
   const auto gate_of = [this](const std::string& name) -> const Gate& {
@@ -108,12 +109,12 @@
   for (const std::string& name : names) {
     load += gate_of(name).in_flight + gate_of(name).reported;
   }
-  double room = 0;
+  double capacity = 0;
   std::size_t active = 0;
-  while (active < names.size() && room < load) {
+  while (active < names.size() && capacity < load) {
     const Gate& gate = gate_of(names[active]);
-    room +=
-        std::max<double>(1.0, gate.report.shared_limit) * this->options.pack;
+    capacity += std::max<double>(1.0, gate.report.shared_limit) *
+                this->options.target_utilization;
     ++active;
   }
   names.resize(std::min(names.size(), active + 1));
@@ -134,8 +135,8 @@
   return *best;
 }
 
-const std::string& RouterCore::Better(const std::string& one,
-                                      const std::string& other) const {
+const std::string& RouterCore::LessLoaded(const std::string& one,
+                                          const std::string& other) const {
   const double first = this->LoadOf(this->gates.find(one)->second);
   const double second = this->LoadOf(this->gates.find(other)->second);
   return first <= second ? one : other;
@@ -147,15 +148,15 @@
   if (all.empty()) {
     return std::nullopt;
   }
-  const std::vector<std::string> near =
+  const std::vector<std::string> usable =
       this->ActiveSet(this->PreferOwnZone(all));
-  std::uniform_int_distribution<std::size_t> any(0, near.size() - 1);
+  std::uniform_int_distribution<std::size_t> any(0, usable.size() - 1);
   std::string chosen =
-      this->Better(near[any(this->random)], near[any(this->random)]);
+      this->LessLoaded(usable[any(this->random)], usable[any(this->random)]);
   if (query.prefix_hash != 0) {
-    const std::string favourite = this->PickByPrefix(near, query.prefix_hash);
-    const double load = this->LoadOf(this->gates.find(favourite)->second);
-    chosen = load < kAffinityLoad ? favourite : chosen;
+    const std::string preferred = this->PickByPrefix(usable, query.prefix_hash);
+    const double load = this->LoadOf(this->gates.find(preferred)->second);
+    chosen = load < kMaxAffinityLoad ? preferred : chosen;
   }
   this->gates.find(chosen)->second.in_flight += 1;
   return chosen;
@@ -200,13 +201,13 @@
       aside += other.aside ? 1 : 0;
     }
   }
-  // Were all to fail alike, setting them aside would only move the load onto
-  // fewer.
+  // If all gates fail, setting them aside would only move the load onto fewer
+  // gates.
   const auto allowed = static_cast<std::size_t>(this->options.max_set_aside *
                                                 static_cast<double>(peers));
   if (gate.aside || aside < allowed) {
     gate.aside = true;
-    gate.aside_until = now + kAside;
+    gate.aside_until = now + kSetAsideDuration;
     gate.why = std::move(why);
   }
 }
@@ -219,7 +220,7 @@
   }
   Gate& gate = found->second;
   if (outcome == RouteOutcome::kFailed) {
-    if (++gate.failures >= kFailuresUntilAside) {
+    if (++gate.failures >= kFailuresUntilSetAside) {
       this->SetAside(
           gate, "failed " + std::to_string(gate.failures) + " times in a row",
           now);
@@ -237,12 +238,12 @@
           : gate.latency_ms + (took_ms - gate.latency_ms) * kSmoothing;
   ++gate.samples;
   const double median = this->MedianLatency(gate.report.service);
-  const bool slow = gate.samples >= kSamplesUntilJudged &&
+  const bool slow = gate.samples >= kMinLatencySamples &&
                     gate.latency_ms > kMinSlowMs &&
                     gate.latency_ms > median * this->options.slow_factor;
   if (slow) {
     this->SetAside(gate, "slower than its peers", now);
-    gate.samples = kSamplesUntilJudged / 2;
+    gate.samples = kMinLatencySamples / 2;
   } else if (gate.aside &&
              took_ms <=
                  std::max(kMinSlowMs, median * this->options.slow_factor)) {
--- a/src/entry/onlinecall.h
+++ b/src/entry/onlinecall.h
@@ -16,7 +16,8 @@
 
 namespace papayarack::entry {
 
-/// What a caller's request turns into, piece by piece.
+/// The events of a call, in order: the head of the answer, its bytes and its
+/// end.
 struct CallHead {
   int status = 0;
   std::string content_type;
@@ -24,47 +25,48 @@
 struct CallBytes {
   std::string bytes;
 };
-struct CallWhole {};  ///< The answer is complete.
+struct CallComplete {};  ///< The answer is complete.
 struct CallFailed {
   Result result;
   bool not_run = false;
 };
-using CallPiece = std::variant<CallHead, CallBytes, CallWhole, CallFailed>;
+using CallEvent = std::variant<CallHead, CallBytes, CallComplete, CallFailed>;
 
-/// Carries one online request to a gate and its answer back. Repeats it
-/// elsewhere only when it was certainly not run, or when it may be repeated and
-/// the caller has received nothing yet; never more often than the retry budget
-/// and the deadline allow. A connection that falls silent is replaced and the
-/// answer taken up where it was. Thread safety: one caller's thread.
+/// Sends one online request to a gate and returns its answer. Retries on
+/// another gate only if the request was certainly not run, or if it may be
+/// repeated and the caller has received nothing yet; within the retry budget
+/// and the deadline. A lost connection is replaced and the answer resumed where
+/// it was interrupted. Thread safety: one caller's thread.
 class OnlineCall {
  public:
   OnlineCall(FleetView& fleet, transport::PeerClient& client, Metrics& metrics,
              gate::OnlineRequest request, bool repeatable,
              std::uint64_t prefix_hash);
-  /// Cancels what is still running.
+  /// Cancels the request if it is still running.
   ~OnlineCall();
   OnlineCall(const OnlineCall&) = delete;
   OnlineCall& operator=(const OnlineCall&) = delete;
 
-  /// The next piece; waits for it. After CallWhole or CallFailed there is none.
-  CallPiece Next();
+  /// Waits for the next event and returns it. There is none after CallComplete
+  /// or CallFailed.
+  CallEvent Next();
   std::uint32_t attempts() const { return this->request.attempt; }
 
  private:
-  using WireEvent = std::variant<std::string, transport::CallEnd>;
-  using WireRing = BoundedRing<WireEvent>;
-  static constexpr std::size_t kRing = 16384;
+  using PeerEvent = std::variant<std::string, transport::CallEnd>;
+  using PeerEventRing = BoundedRing<PeerEvent>;
+  static constexpr std::size_t kRingCapacity = 16384;
 
-  bool Begin();
+  bool StartAttempt();
   void Connect();
-  void LeaveGate();
-  std::optional<CallPiece> OnWire(const WireEvent& event);
-  std::optional<CallPiece> OnMessage(const std::string& bytes);
-  std::optional<CallPiece> OnRefused(const gate::Refused& refused);
-  std::optional<CallPiece> OnEnd(const gate::AnswerEnd& end);
-  std::optional<CallPiece> OnLost(transport::CallEnd how);
-  std::optional<CallPiece> Again(const Result& why, bool not_run);
-  CallPiece Fail(Result result, bool not_run);
+  void ReleaseGate();
+  std::optional<CallEvent> OnPeerEvent(const PeerEvent& event);
+  std::optional<CallEvent> OnMessage(const std::string& bytes);
+  std::optional<CallEvent> OnRefused(const gate::Refused& refused);
+  std::optional<CallEvent> OnAnswerEnd(const gate::AnswerEnd& end);
+  std::optional<CallEvent> OnCallEnd(transport::CallEnd how);
+  std::optional<CallEvent> RetryOrFail(const Result& why, bool not_run);
+  CallEvent Fail(Result result, bool not_run);
   Duration TimeLeft() const;
 
   FleetView& fleet;
@@ -77,14 +79,14 @@
   Time sent{};
   std::string gate;
   std::vector<std::string> tried;
-  std::shared_ptr<WireRing> ring;
+  std::shared_ptr<PeerEventRing> ring;
   transport::CallId call = 0;
-  std::uint32_t received = 0;  ///< Messages of this attempt.
+  std::uint32_t received = 0;  ///< Messages received in this attempt.
   std::uint32_t reconnects = 0;
-  std::uint32_t stale_tries = 0;
-  bool delivered = false;  ///< The caller has got something of the answer.
+  std::uint32_t stale_retries = 0;
+  bool delivered = false;  ///< The caller has received a part of the answer.
   bool maybe_ran = false;  ///< An earlier attempt may have run.
-  bool over = false;
+  bool finished = false;
 };
 
 }  // namespace papayarack::entry
--- a/src/entry/retrybudget.h
+++ b/src/entry/retrybudget.h
@@ -3,20 +3,20 @@
 
 namespace papayarack::entry {
 
-/// Bounds the repeats of one service to a part of its first requests, so that
-/// an overload is not made worse by the repeats it causes. Thread safety: none.
+/// Limits the retries of one service to a fraction of its first requests, so
+/// that retries do not amplify an overload. Thread safety: none.
 class RetryBudget {
  public:
-  /// A first request came: it adds a little to what may be repeated.
+  /// Counts a first request, which adds a fraction of a retry to the budget.
   void OnRequest();
-  /// Takes one repeat; false when the budget is spent.
-  bool TryRepeat();
+  /// Consumes one retry; false if the budget is exhausted.
+  bool TryRetry();
   double Left() const { return this->tokens; }
 
  private:
-  static constexpr double kPerRequest = 0.1;
-  static constexpr double kLargest = 20.0;
-  double tokens = kLargest / 2;
+  static constexpr double kTokensPerRequest = 0.1;
+  static constexpr double kMaxTokens = 20.0;
+  double tokens = kMaxTokens / 2;
 };
 
 }  // namespace papayarack::entry
--- a/src/entry/routercore.h
+++ b/src/entry/routercore.h
@@ -19,32 +19,33 @@
 struct RouterOptions {
   std::string zone;
   std::uint64_t seed = 1;
-  /// Of the gates of one service at most this part is set aside.
+  /// Largest fraction of the gates of one service that may be set aside at a
+  /// time.
   double max_set_aside = 0.34;
-  /// A gate this much slower than the median of its peers is set aside.
+  /// A gate slower than the median of its peers by this factor is set aside.
   double slow_factor = 3.0;
-  /// Online requests of an engine service are packed onto as few gates as hold
-  /// them at this part of their shared limits, so that the others run batch
-  /// undisturbed and undisturbing.
-  double pack = 0.75;
+  /// Online requests of an engine service are packed onto as few gates as can
+  /// serve them at this utilization of their shared limits. Batch work then
+  /// runs on the other gates, where neither slows the other down.
+  double target_utilization = 0.75;
 };
 
-/// What a choice depends on.
+/// The properties of a request that its routing depends on.
 struct RouteQuery {
   std::string_view service;
   std::uint64_t prefix_hash =
-      0;  ///< Of the prompt's leading bytes; 0 for none.
+      0;  ///< Hash of the prompt's leading bytes; 0 for none.
   std::span<const std::string> tried;
 };
 
-/// How a gate did.
+/// The outcome of a request at a gate.
 enum class RouteOutcome : std::uint8_t {
-  kAnswered,  ///< Began to answer; `took` counts.
-  kRefused,   ///< Refused as overloaded: no fault of the gate.
+  kAnswered,  ///< The answer began; `took` is its latency.
+  kRefused,   ///< Refused as overloaded, which is not a failure of the gate.
   kFailed,    ///< Not reachable, or the upstream failed.
 };
 
-/// A gate as the dump shows it.
+/// A gate as shown in the dump.
 struct GateView {
   std::string name;
   std::string address;
@@ -56,27 +57,29 @@
   std::string why;
 };
 
-/// Chooses the gate for each request: own requests in flight as truth, reports
-/// aged, two random choices, prefix affinity, own zone first until it is full,
-/// slow and failing gates set aside by comparison with their peers and let back
-/// by single trial requests. No clock or threads; the generator is seeded.
+/// Chooses the gate for each request. Load is the number of this entry's own
+/// requests in flight plus the load that the gate last reported of others. Of
+/// two gates chosen at random the less loaded one is taken, unless prefix
+/// affinity applies; the own zone is preferred until it is full. Gates that
+/// fail or are much slower than their peers are set aside and readmitted by
+/// single trial requests. No clock or threads; the random generator is seeded.
 /// Thread safety: none, one owner.
 class RouterCore {
  public:
   explicit RouterCore(const RouterOptions& options);
 
-  /// Takes the fleet as control sees it. While `settled` is false, gates that
-  /// are missing from the list are kept: a new control leader has not heard all
-  /// of them yet.
+  /// Sets the fleet as listed by control. While `settled` is false, gates that
+  /// are missing from the list are kept: a new control leader has not received
+  /// a heartbeat from all of them yet.
   void SetFleet(std::span<const fleet::FleetMember> members, bool settled);
-  /// The name of a gate, or nothing when no gate can take the request. The
-  /// request counts as in flight there until Finish.
+  /// Returns the name of a gate, or nothing if no gate can take the request.
+  /// The request counts as in flight there until Finish.
   std::optional<std::string> Choose(const RouteQuery& query, Time now);
   std::string AddressOf(std::string_view gate) const;
   void Finish(std::string_view gate);
   void Report(std::string_view gate, RouteOutcome outcome, Duration took,
               Time now);
-  /// The gate itself says that it leaves, before control does.
+  /// Records that the gate announced its shutdown itself, before control did.
   void MarkLeaving(std::string_view gate);
   std::vector<GateView> View(Time now) const;
   std::size_t CountFor(std::string_view service) const;
@@ -88,10 +91,10 @@
     bool alive = true;
     std::uint32_t in_flight = 0;
     std::uint32_t reported =
-        0;  ///< Load that others caused, halved at each own update.
+        0;                  ///< Load caused by others, from the last report.
     double latency_ms = 0;  ///< Smoothed time until an answer begins.
     std::uint32_t samples = 0;
-    std::uint32_t failures = 0;  ///< In a row.
+    std::uint32_t failures = 0;  ///< Consecutive.
     Time aside_until{};
     bool aside = false;
     std::string why;
@@ -103,8 +106,8 @@
       const std::vector<std::string>& candidates) const;
   std::vector<std::string> ActiveSet(std::vector<std::string> gates) const;
   double LoadOf(const Gate& gate) const;
-  const std::string& Better(const std::string& one,
-                            const std::string& other) const;
+  const std::string& LessLoaded(const std::string& one,
+                                const std::string& other) const;
   std::string PickByPrefix(const std::vector<std::string>& candidates,
                            std::uint64_t hash) const;
   void SetAside(Gate& gate, std::string why, Time now);
--- a/src/entry/tests/onlinecall_tests.cpp
+++ b/src/entry/tests/onlinecall_tests.cpp
@@ -7,15 +7,15 @@
 namespace papayarack::entry {
 namespace {
 
-constexpr std::chrono::seconds kPatience{20};
+constexpr std::chrono::seconds kTimeout{20};
 
-/// A gate that the test plays.
+/// A gate server whose answers are sent by the test.
 struct FakeGate {
-  struct Seen {
+  struct ReceivedRequest {
     transport::StreamId stream = 0;
     gate::OnlineRequest request;
   };
-  BoundedRing<Seen> seen{64};
+  BoundedRing<ReceivedRequest> received{64};
   BoundedRing<std::string> cancelled{64};
   transport::PeerServer server{
       {"127.0.0.1", 0},
@@ -25,7 +25,7 @@
            this->cancelled.TryPush(DecodeMessage<gate::CancelRequest>(body).id);
            this->server.Finish(stream);
          } else {
-           this->seen.TryPush(
+           this->received.TryPush(
                {stream, DecodeMessage<gate::OnlineRequest>(body)});
          }
        },
@@ -45,7 +45,7 @@
   }
 };
 
-struct Setup {
+struct Fixture {
   FakeGate first;
   FakeGate second;
   FleetView fleet{RouterOptions{}};
@@ -60,19 +60,19 @@
     return {this->fleet,        this->client, this->metrics,
             std::move(request), repeatable,   0};
   }
-  void OnlyFirst() {
-    this->fleet.TakeFleet({this->first.Member("first")}, true);
+  void UseFirstGate() {
+    this->fleet.UpdateFleet({this->first.Member("first")}, true);
   }
-  void Both() {
-    this->fleet.TakeFleet(
+  void UseBothGates() {
+    this->fleet.UpdateFleet(
         {this->first.Member("first"), this->second.Member("second")}, true);
   }
-  /// The gate that the request came to.
-  std::pair<FakeGate*, FakeGate::Seen> Arrived() {
+  /// Waits for a request and returns the gate that received it.
+  std::pair<FakeGate*, FakeGate::ReceivedRequest> WaitForRequest() {
     for (int i = 0; i < 2000; ++i) {
       for (FakeGate* gate : {&this->first, &this->second}) {
-        if (auto seen = gate->seen.Pop(std::chrono::milliseconds(5))) {
-          return {gate, *seen};
+        if (auto received = gate->received.Pop(std::chrono::milliseconds(5))) {
+          return {gate, *received};
         }
       }
     }
@@ -80,24 +80,24 @@
   }
 };
 
-template <typename Piece>
-Piece Expect(OnlineCall& call) {
-  CallPiece piece = call.Next();
-  REQUIRE(std::holds_alternative<Piece>(piece));
-  return std::get<Piece>(piece);
+template <typename Event>
+Event Expect(OnlineCall& call) {
+  CallEvent event = call.Next();
+  REQUIRE(std::holds_alternative<Event>(event));
+  return std::get<Event>(event);
 }
 
 }  // namespace
 
-TEST_CASE("a request that a gate refuses as not run goes to another gate") {
-  Setup setup;
-  setup.Both();
-  OnlineCall call = setup.Call(false);
+TEST_CASE("a request that a gate refuses as not run is sent to another gate") {
+  Fixture fixture;
+  fixture.UseBothGates();
+  OnlineCall call = fixture.Call(false);
   std::thread gates([&] {
-    auto [refusing, request] = setup.Arrived();
+    auto [refusing, request] = fixture.WaitForRequest();
     refusing->Send(request.stream, gate::Refused{200, "full", 100, 0});
     refusing->server.Finish(request.stream);
-    auto [answering, again] = setup.Arrived();
+    auto [answering, again] = fixture.WaitForRequest();
     CHECK(answering != refusing);
     CHECK(again.request.attempt == 2);
     answering->Send(again.stream, gate::AnswerHead{200, "text/plain"});
@@ -107,20 +107,21 @@
   });
   CHECK(Expect<CallHead>(call).status == 200);
   CHECK(Expect<CallBytes>(call).bytes == "yes");
-  Expect<CallWhole>(call);
+  Expect<CallComplete>(call);
   gates.join();
 }
 
-// Symptom: a caller takes half an answer for the whole. Sequence: the upstream
-// dies in the middle of the answer. Cause: a stream that ends looks like a
-// stream that was finished.
+// Guards against a truncated answer that is taken for a complete one: the
+// upstream fails in the middle of the answer, and a stream that ends early
+// looks like one that finished.
 TEST_CASE(
-    "an answer that ends without its last message is a failure, never whole") {
-  Setup setup;
-  setup.OnlyFirst();
-  OnlineCall call = setup.Call(true);
+    "an answer that ends without its last message is a failure, not a "
+    "whole answer") {
+  Fixture fixture;
+  fixture.UseFirstGate();
+  OnlineCall call = fixture.Call(true);
   std::thread gate([&] {
-    auto [gate, request] = setup.Arrived();
+    auto [gate, request] = fixture.WaitForRequest();
     gate->Send(request.stream, gate::AnswerHead{200, "text/plain"});
     gate->Send(request.stream, gate::AnswerBytes{"half"});
     gate->Send(request.stream, gate::AnswerEnd{301, "the upstream died"});
@@ -134,20 +135,20 @@
   gate.join();
 }
 
-// Symptom: a payment posts twice. Sequence: the gate takes the request and its
-// connection breaks; the gate has been restarted when the entry comes back.
-// Cause: the entry sends the request again.
+// Guards against a request that runs twice, such as a payment: the gate accepts
+// the request, its connection breaks, and the gate has restarted when the entry
+// reconnects; the entry must not send the request again.
 TEST_CASE(
-    "a request that may not be repeated is only taken up, never run anew") {
-  Setup setup;
-  setup.OnlyFirst();
-  OnlineCall call = setup.Call(false);
+    "a request that may not be repeated is only resumed, never run again") {
+  Fixture fixture;
+  fixture.UseFirstGate();
+  OnlineCall call = fixture.Call(false);
   std::thread gate([&] {
-    auto [gate, request] = setup.Arrived();
+    auto [gate, request] = fixture.WaitForRequest();
     CHECK_FALSE(request.request.take_up);
-    gate->server.Finish(request.stream);  // Nothing was said: as good as lost.
+    gate->server.Finish(request.stream);  // The stream ends without a message.
     for (int i = 0; i < 3; ++i) {
-      auto [same, again] = setup.Arrived();
+      auto [same, again] = fixture.WaitForRequest();
       CHECK(again.request.take_up);
       CHECK(again.request.attempt == 1);
       same->server.Finish(again.stream);
@@ -159,16 +160,17 @@
   gate.join();
 }
 
-TEST_CASE("an answer is taken up where it was after its connection broke") {
-  Setup setup;
-  setup.OnlyFirst();
-  OnlineCall call = setup.Call(true);
+TEST_CASE(
+    "an answer is resumed where it was interrupted by a lost connection") {
+  Fixture fixture;
+  fixture.UseFirstGate();
+  OnlineCall call = fixture.Call(true);
   std::thread gate([&] {
-    auto [gate, request] = setup.Arrived();
+    auto [gate, request] = fixture.WaitForRequest();
     gate->Send(request.stream, gate::AnswerHead{200, "text/plain"});
     gate->Send(request.stream, gate::AnswerBytes{"one "});
     gate->server.Finish(request.stream);
-    auto [same, again] = setup.Arrived();
+    auto [same, again] = fixture.WaitForRequest();
     CHECK(again.request.have_messages == 2);
     same->Send(again.stream, gate::AnswerBytes{"two"});
     same->Send(again.stream, gate::AnswerEnd{});
@@ -177,19 +179,19 @@
   Expect<CallHead>(call);
   CHECK(Expect<CallBytes>(call).bytes == "one ");
   CHECK(Expect<CallBytes>(call).bytes == "two");
-  Expect<CallWhole>(call);
+  Expect<CallComplete>(call);
   gate.join();
 }
 
-// Symptom: "not run" is said of a request that ran. Sequence: the first attempt
-// may have run, the repeat finds no gate. Cause: the last attempt's refusal is
+// Guards against reporting "not run" for a request that ran: the first attempt
+// may have run, the retry finds no gate, and the refusal of the last attempt is
 // reported for the whole request.
-TEST_CASE("not run is never said when an earlier attempt may have run") {
-  Setup setup;
-  setup.OnlyFirst();
-  OnlineCall call = setup.Call(true);
+TEST_CASE("not run is never reported when an earlier attempt may have run") {
+  Fixture fixture;
+  fixture.UseFirstGate();
+  OnlineCall call = fixture.Call(true);
   std::thread gate([&] {
-    auto [gate, request] = setup.Arrived();
+    auto [gate, request] = fixture.WaitForRequest();
     gate->Send(request.stream, gate::AnswerEnd{301, "the upstream died"});
     gate->server.Finish(request.stream);
   });
@@ -199,24 +201,24 @@
   gate.join();
 }
 
-TEST_CASE("a caller that goes away cancels the work at the gate") {
-  Setup setup;
-  setup.OnlyFirst();
+TEST_CASE("a caller that disconnects cancels the work at the gate") {
+  Fixture fixture;
+  fixture.UseFirstGate();
   {
-    OnlineCall call = setup.Call(true);
+    OnlineCall call = fixture.Call(true);
     std::thread gate([&] {
-      auto [gate, request] = setup.Arrived();
+      auto [gate, request] = fixture.WaitForRequest();
       gate->Send(request.stream, gate::AnswerHead{200, "text/plain"});
     });
     Expect<CallHead>(call);
     gate.join();
   }
-  CHECK(setup.first.cancelled.Pop(kPatience) == "r1");
+  CHECK(fixture.first.cancelled.Pop(kTimeout) == "r1");
 }
 
-TEST_CASE("no gate: the refusal says not run and when to come back") {
-  Setup setup;
-  OnlineCall call = setup.Call(true);
+TEST_CASE("without a gate the error reports not run and a retry time") {
+  Fixture fixture;
+  OnlineCall call = fixture.Call(true);
   const auto failed = Expect<CallFailed>(call);
   CHECK(failed.result.code == ResultCode::kNoUpstream);
   CHECK(failed.not_run);
--- a/src/entry/tests/routercore_tests.cpp
+++ b/src/entry/tests/routercore_tests.cpp
@@ -10,7 +10,7 @@
 constexpr Time kStart{std::chrono::seconds(100)};
 constexpr Duration kMs = std::chrono::milliseconds(1);
 
-fleet::FleetMember Side(const std::string& name,
+fleet::FleetMember Gate(const std::string& name,
                         const std::string& zone = "a") {
   fleet::FleetMember member;
   member.report.name = name;
@@ -28,23 +28,23 @@
   return {"counter", 0, tried};
 }
 
-std::vector<fleet::FleetMember> Sides(int count) {
+std::vector<fleet::FleetMember> Gates(int count) {
   std::vector<fleet::FleetMember> members;
   members.reserve(static_cast<std::size_t>(count));
   for (int i = 0; i < count; ++i) {
-    members.push_back(Side("g" + std::to_string(i)));
+    members.push_back(Gate("g" + std::to_string(i)));
   }
   return members;
 }
 
 }  // namespace
 
-TEST_CASE("an entry before four gates") {
+TEST_CASE("the router of an entry with four gates") {
   RouterCore router({"a", 3, 0.34, 3.0, 0.75});
-  auto members = Sides(4);
+  auto members = Gates(4);
   router.SetFleet(members, true);
 
-  SECTION("spreads requests by what is in flight") {
+  SECTION("spreads requests by the number in flight") {
     for (int i = 0; i < 40; ++i) {
       router.Choose(Query(), kStart);
     }
@@ -53,19 +53,19 @@
       CHECK(view.in_flight <= 14);
     }
   }
-  SECTION("does not choose a gate that was tried") {
+  SECTION("does not choose a gate that was tried before") {
     const std::vector<std::string> tried = {"g0", "g1", "g2"};
     CHECK(router.Choose(Query(tried), kStart) == "g3");
   }
   SECTION(
-      "sends nothing more to a gate that says it leaves, even when control's "
-      "list lags") {
+      "sends nothing more to a gate that announced its shutdown, even if the "
+      "list of control is older") {
     router.MarkLeaving("g0");
     router.SetFleet(members, true);
     for (int i = 0; i < 50; ++i) {
       CHECK(router.Choose(Query(), kStart) != "g0");
     }
-    SECTION("until that gate has started anew") {
+    SECTION("until that gate has started again") {
       members[0].report.incarnation = 2;
       router.SetFleet(members, true);
       bool chosen = false;
@@ -75,16 +75,17 @@
       CHECK(chosen);
     }
   }
-  // Symptom: all gates vanish for a second. Sequence: control elects a new
-  // leader, which has heard of one gate so far. Cause: its list is taken for
-  // the whole fleet.
-  SECTION("keeps gates that a new control leader has not heard of yet") {
+  // Guards against losing all gates after control elects a new leader: the new
+  // leader has received a heartbeat from one gate so far, and its list must not
+  // be taken for the whole fleet.
+  SECTION(
+      "keeps gates that have not sent a new control leader a heartbeat yet") {
     router.SetFleet(std::span(members).first(1), false);
     CHECK(router.CountFor("counter") == 4);
     router.SetFleet(std::span(members).first(1), true);
     CHECK(router.CountFor("counter") == 1);
   }
-  SECTION("sets a failing gate aside and lets it back by one trial at a time") {
+  SECTION("sets a failing gate aside and readmits it by one trial at a time") {
     router.Report("g0", RouteOutcome::kFailed, {}, kStart);
     router.Report("g0", RouteOutcome::kFailed, {}, kStart);
     for (int i = 0; i < 50; ++i) {
@@ -104,9 +105,9 @@
     }
     CHECK(chosen > 10);
   }
-  // Symptom: a fault that all gates share takes the service away. Sequence:
-  // every gate fails a few times. Cause: each is judged alone.
-  SECTION("never sets aside more than a part of its gates") {
+  // Guards against a failure of all gates that takes the whole service away:
+  // every gate fails a few times and is judged without regard to the others.
+  SECTION("never sets aside more than a fraction of its gates") {
     for (int i = 0; i < 10; ++i) {
       for (const char* name : {"g0", "g1", "g2", "g3"}) {
         router.Report(name, RouteOutcome::kFailed, {}, kStart);
@@ -126,7 +127,7 @@
     CHECK(views.at(0).set_aside);
     CHECK(std::ranges::count(views, true, &GateView::set_aside) == 1);
   }
-  SECTION("sends equal prefixes to one gate while it has room") {
+  SECTION("sends equal prefixes to one gate while it has capacity") {
     const auto first = router.Choose({"counter", 99, {}}, kStart);
     CHECK(router.Choose({"counter", 99, {}}, kStart) == first);
     for (int i = 0; i < 20; ++i) {
@@ -137,10 +138,10 @@
   }
 }
 
-TEST_CASE("an entry prefers its own zone until that is full") {
+TEST_CASE("an entry prefers its own zone until it is full") {
   RouterCore router({"a", 3, 0.34, 3.0, 0.75});
-  const std::vector<fleet::FleetMember> members = {Side("near"),
-                                                   Side("far", "b")};
+  const std::vector<fleet::FleetMember> members = {Gate("near"),
+                                                   Gate("far", "b")};
   router.SetFleet(members, true);
   for (int i = 0; i < 3; ++i) {
     CHECK(router.Choose(Query(), kStart) == "near");
@@ -152,20 +153,20 @@
   CHECK(spilled);
 }
 
-TEST_CASE("no gate, no choice") {
+TEST_CASE("a router without any gate chooses none") {
   RouterCore router({"a", 3, 0.34, 3.0, 0.75});
   CHECK_FALSE(router.Choose(Query(), kStart).has_value());
 }
 
-TEST_CASE("a retry budget bounds repeats to a part of the first requests") {
+TEST_CASE("a retry budget limits retries to a fraction of the first requests") {
   RetryBudget budget;
-  int repeats = 0;
+  int retries = 0;
   for (int i = 0; i < 1000; ++i) {
     budget.OnRequest();
-    repeats += budget.TryRepeat() ? 1 : 0;
+    retries += budget.TryRetry() ? 1 : 0;
   }
-  CHECK(repeats <= 112);
-  CHECK(repeats >= 100);
+  CHECK(retries <= 112);
+  CHECK(retries >= 100);
 }
 
 }  // namespace papayarack::entry
