--- a/src/control/controlclient.h
+++ b/src/control/controlclient.h
@@ -12,18 +12,19 @@
 
 namespace papayarack::control {
 
-/// Talks to the control group from the other roles and the command line: finds
-/// the leader, follows it when it changes, and repeats until `timeout`. Every
-/// command is idempotent by its ids, so repeating one whose answer was lost is
-/// safe. Thread safety: every method, any thread; they wait for the network.
+/// Client of the control group for the other roles and the command line: finds
+/// the leader, follows it when it changes, and retries until `timeout`. Every
+/// command is idempotent through its ids, so repeating one whose answer was
+/// lost is safe. Thread safety: every method, any thread; they block on the
+/// network.
 class ControlClient {
  public:
   /// Precondition: members is not empty.
   ControlClient(transport::PeerClient& client,
                 const std::vector<ControlMemberSettings>& members);
 
-  /// The reply of the leader. A reply with a refusal is returned, not thrown.
-  /// Throws ResultError(kNoQuorum) when no leader answered in time.
+  /// Returns the reply of the leader; a refusal is returned, not thrown. Throws
+  /// ResultError(kNoQuorum) if no leader answered in time.
   statemachine::CommandReply Run(const statemachine::Command& command,
                                  std::chrono::milliseconds timeout);
   statemachine::CommandReply Ask(const Query& query,
@@ -46,7 +47,7 @@
   std::size_t position = 0;
 };
 
-/// Throws the reply's code as ResultError when it is not kOk.
+/// Throws ResultError with the code of the reply unless it is kOk.
 void RequireOk(const statemachine::CommandReply& reply);
 
 }  // namespace papayarack::control
--- a/src/control/controlprotocol.h
+++ b/src/control/controlprotocol.h
@@ -14,7 +14,7 @@
 
 namespace papayarack::control {
 
-/// Paths of the requests that a control member takes; bodies are encoded
+/// Paths of the requests that a control member serves; bodies are encoded
 /// messages.
 namespace path {
 inline constexpr const char* kRaft = "/raft";  ///< RaftMessage; no answer.
@@ -93,8 +93,8 @@
   MSGPACK_DEFINE(revision, documents, members, leader, term)
 };
 
-/// Questions; each answer was confirmed by a quorum. Alternatives are only
-/// added at the end.
+/// Read-only requests; each answer was confirmed by a quorum. Alternatives are
+/// only added at the end.
 using Query = std::variant<QueryDocument, QueryChanges, QueryJob, QueryJobs,
                            QueryResults, QueryFile, QueryStatus>;
 
@@ -104,11 +104,10 @@
   MSGPACK_DEFINE(revision, changes)
 };
 
-/// A process says that it is there and what it has.
+/// Announces a process and its state to control.
 struct Heartbeat {
   fleet::ProcessReport report;
-  std::uint64_t fleet_version =
-      0;  ///< Of the fleet list that it has; 0 for none.
+  std::uint64_t fleet_version = 0;  ///< Version of its fleet list; 0 for none.
   MSGPACK_DEFINE(report, fleet_version)
 };
 /// Body of the answer to a heartbeat.
@@ -116,15 +115,15 @@
   ChangesReply documents;
   std::uint64_t fleet_version = 0;
   bool fleet_settled =
-      false;  ///< False while a new leader is still being heard by all.
-  /// For entries, and only when the version differs.
+      false;  ///< False while heartbeats may still be missing on a new leader.
+  /// Only for entries, and only if the version differs.
   std::vector<fleet::FleetMember> members;
   bool has_batch_work = false;  ///< A job of the sender's service is open.
   MSGPACK_DEFINE(documents, fleet_version, fleet_settled, members,
                  has_batch_work)
 };
 
-/// Asks for a part of the newest snapshot: of its state, or of the blob bytes.
+/// Requests a part of the newest snapshot: of its state, or of the blob bytes.
 struct SnapshotRequest {
   consensus::GroupId group = 0;
   bool blobs = false;
@@ -134,13 +133,13 @@
 struct SnapshotChunk {
   int code = 0;
   consensus::SnapshotMeta meta;
-  std::uint64_t first_blob = 0;  ///< Smallest blob offset that is kept.
+  std::uint64_t first_blob = 0;  ///< Smallest blob offset that is retained.
   std::string bytes;
   MSGPACK_DEFINE(code, meta, first_blob, bytes)
 };
 
-/// Adds a member as a learner, which votes once it has caught up, or removes
-/// one.
+/// Adds a member as a learner, which votes once it has caught up, or removes a
+/// member.
 struct MembersChange {
   bool add = false;
   std::uint64_t id = 0;
--- a/src/control/controlserver.h
+++ b/src/control/controlserver.h
@@ -9,18 +9,19 @@
 
 namespace papayarack::control {
 
-/// A control member: peer I/O, deciding, writing, snapshot fetching and the
-/// platform list, each on a thread of its own. Thread safety: any thread.
+/// A control member. Peer I/O, the event loop, log writing, snapshot fetching
+/// and reading of the platform list have a thread each. Thread safety: any
+/// thread.
 class ControlServer {
  public:
-  /// Recovers and begins. Precondition: the data folder is formatted.
-  /// Throws ResultError(kStorageDamaged, kBadInput, kConflict).
+  /// Recovers and starts. Precondition: the data folder is formatted. Throws
+  /// ResultError(kStorageDamaged, kBadInput, kConflict).
   ControlServer(const Settings& settings, Metrics& metrics);
   ~ControlServer();
   ControlServer(const ControlServer&) = delete;
   ControlServer& operator=(const ControlServer&) = delete;
 
-  /// Hands leadership over and refuses new requests; what waits is still
+  /// Transfers leadership and refuses new requests; waiting requests are still
   /// answered.
   void BeginLeave();
   nlohmann::json Dump() const;
@@ -34,13 +35,13 @@
   std::unique_ptr<Impl> impl;
 };
 
-/// Formats a data folder for a first member of a cluster, or with `join` for a
-/// new member of a running one. Throws ResultError(kConflict) when the folder
-/// is formatted already.
+/// Formats a data folder for an initial member of a cluster, or with `join` for
+/// a new member of a running one. Throws ResultError(kConflict) if the folder
+/// is already formatted.
 void FormatDataFolder(const Settings& settings, std::uint64_t member,
                       bool join);
 
-/// The member id of a formatted folder, or 0.
+/// Returns the member id of a formatted folder, or 0.
 std::uint64_t FormattedMember(const std::string& data_folder);
 
 }  // namespace papayarack::control
--- a/src/control/internal/controlclient.cpp
+++ b/src/control/internal/controlclient.cpp
@@ -9,10 +9,10 @@
 namespace papayarack::control {
 namespace {
 
-constexpr std::chrono::milliseconds kOneTry{2500};
-constexpr std::chrono::milliseconds kPause{40};
+constexpr std::chrono::milliseconds kAttemptTimeout{2500};
+constexpr std::chrono::milliseconds kRetryDelay{40};
 
-bool WorthAnotherMember(ResultCode code) {
+bool ShouldTryNextMember(ResultCode code) {
   return code == ResultCode::kNotLeader || code == ResultCode::kNoQuorum ||
          code == ResultCode::kOverloaded || code == ResultCode::kLeaving ||
          code == ResultCode::kStorageFull ||
@@ -39,7 +39,7 @@
                             const std::string& hint) {
   const std::lock_guard lock(this->mutex);
   if (this->target != failed) {
-    return;  // Another thread moved on already.
+    return;  // Another thread has switched already.
   }
   if (!hint.empty() && hint != failed) {
     this->target = hint;
@@ -64,9 +64,9 @@
     try {
       const std::string answer =
           this->client.CallAndWait(ParseEndpoint(address, "control"), path,
-                                   body, std::min(left, kOneTry));
+                                   body, std::min(left, kAttemptTimeout));
       auto reply = DecodeMessage<statemachine::CommandReply>(answer);
-      if (!WorthAnotherMember(reply.Code())) {
+      if (!ShouldTryNextMember(reply.Code())) {
         return reply;
       }
       last_error = reply.text;
@@ -75,7 +75,7 @@
       last_error = error.what();
       this->TryNext(address, {});
     }
-    std::this_thread::sleep_for(kPause);
+    std::this_thread::sleep_for(kRetryDelay);
   }
 }
 
--- a/src/control/internal/controlserver.cpp
+++ b/src/control/internal/controlserver.cpp
@@ -19,10 +19,10 @@
 namespace papayarack::control {
 namespace {
 
-constexpr std::size_t kEventRing = 16384;
-constexpr std::chrono::milliseconds kTick{10};
+constexpr std::size_t kEventRingCapacity = 16384;
+constexpr std::chrono::milliseconds kTickInterval{10};
 constexpr consensus::GroupId kGroup = 0;
-constexpr std::size_t kSnapshotChunk = 1U << 20U;
+constexpr std::size_t kSnapshotChunkBytes = 1U << 20U;
 constexpr int kHeartbeatsUntilDead = 4;
 
 struct PeerRequest {
@@ -30,29 +30,29 @@
   std::string path;
   std::string body;
 };
-struct PeerGone {
+struct PeerCancelled {
   transport::StreamId stream = 0;
 };
-struct WriterHasNews {};
-struct SnapshotArrived {
+struct WriterProgressed {};
+struct SnapshotFetched {
   std::optional<FetchedSnapshot> snapshot;
 };
 struct PlatformList {
   std::vector<std::string> leaving;
 };
-struct DumpWanted {
+struct DumpRequest {
   std::shared_ptr<std::promise<nlohmann::json>> answer;
 };
-struct LeaveWanted {};
+struct LeaveRequest {};
 
 using Event =
-    std::variant<PeerRequest, PeerGone, WriterHasNews, SnapshotArrived,
-                 PlatformList, DumpWanted, LeaveWanted>;
+    std::variant<PeerRequest, PeerCancelled, WriterProgressed, SnapshotFetched,
+                 PlatformList, DumpRequest, LeaveRequest>;
 
-/// What the writer has done since the deciding thread last looked. It stands
-/// beside the ring, because a writer that waited for room in it could wait for
-/// a decider that waits for the writer.
-struct WriterNews {
+/// Progress of the log writer since the event loop thread last read it. Kept
+/// outside the ring: a writer that waited for space in the ring could deadlock
+/// with an event loop that waits for the writer.
+struct WriterProgress {
   std::optional<consensus::RaftBatch> synced;
   std::optional<consensus::SnapshotMeta> snapshot;
   std::optional<std::string> failure;
@@ -76,8 +76,8 @@
       : settings(settings),
         metrics(metrics),
         files(storage::OpenPosixFileSystem(settings.data_folder)),
-        events(kEventRing),
-        fetches(4),
+        events(kEventRingCapacity),
+        fetch_requests(4),
         fleet(settings.heartbeat * kHeartbeatsUntilDead) {
     const auto identity = consensus::ReadIdentity(*this->files);
     if (!identity.has_value()) {
@@ -100,30 +100,30 @@
                                  std::string_view path, std::string body) {
       if (!this->events.TryPush(
               PeerRequest{stream, std::string(path), std::move(body)})) {
-        this->RefuseFull(stream);
+        this->RejectOverloaded(stream);
       }
     };
     handlers.on_cancel = [this](transport::StreamId stream) {
-      this->events.TryPush(PeerGone{stream});
+      this->events.TryPush(PeerCancelled{stream});
     };
     this->server = std::make_unique<transport::PeerServer>(
         ParseEndpoint(settings.peer_listen, "/peer_listen"),
         std::move(handlers));
-    this->decider = std::thread([this] { this->Decide(); });
-    this->fetcher = std::thread([this] { this->FetchLoop(); });
+    this->event_thread = std::thread([this] { this->EventLoop(); });
+    this->fetch_thread = std::thread([this] { this->FetchLoop(); });
     if (!settings.platform_list.empty()) {
-      this->platform = std::thread([this] { this->PlatformLoop(); });
+      this->platform_thread = std::thread([this] { this->PlatformLoop(); });
     }
   }
 
   ~Impl() {
     this->stopping = true;
     this->events.Close();
-    this->fetches.Close();
-    this->decider.join();
-    this->fetcher.join();
-    if (this->platform.joinable()) {
-      this->platform.join();
+    this->fetch_requests.Close();
+    this->event_thread.join();
+    this->fetch_thread.join();
+    if (this->platform_thread.joinable()) {
+      this->platform_thread.join();
     }
     this->group.reset();
   }
@@ -135,13 +135,16 @@
           this->SendMessages(messages);
         };
     handlers.synced = [this](const consensus::RaftBatch& batch) {
-      this->Tell([&](WriterNews& news) { news.synced = batch; });
+      this->UpdateWriterProgress(
+          [&](WriterProgress& progress) { progress.synced = batch; });
     };
     handlers.snapshot_saved = [this](const consensus::SnapshotMeta& meta) {
-      this->Tell([&](WriterNews& news) { news.snapshot = meta; });
+      this->UpdateWriterProgress(
+          [&](WriterProgress& progress) { progress.snapshot = meta; });
     };
     handlers.storage_failed = [this](const std::string& reason) {
-      this->Tell([&](WriterNews& news) { news.failure = reason; });
+      this->UpdateWriterProgress(
+          [&](WriterProgress& progress) { progress.failure = reason; });
     };
     handlers.answer = [this](RequestToken token,
                              const statemachine::CommandReply& reply) {
@@ -152,7 +155,7 @@
     };
     handlers.fetch_snapshot = [this](consensus::MemberId from) {
       if (!std::exchange(this->fetching, true)) {
-        this->fetches.TryPush(
+        this->fetch_requests.TryPush(
             {this->group->AddressOf(from), this->group->blobs().length()});
       }
     };
@@ -160,33 +163,33 @@
   }
 
   template <typename Change>
-  void Tell(const Change& change) {
+  void UpdateWriterProgress(const Change& change) {
     {
-      const std::lock_guard lock(this->news_mutex);
-      change(this->news);
+      const std::lock_guard lock(this->writer_mutex);
+      change(this->writer_progress);
     }
-    this->events.TryPush(WriterHasNews{});
+    this->events.TryPush(WriterProgressed{});
   }
 
-  void TakeWriterNews() {
-    WriterNews taken;
+  void ProcessWriterProgress() {
+    WriterProgress taken;
     {
-      const std::lock_guard lock(this->news_mutex);
-      taken = std::exchange(this->news, {});
+      const std::lock_guard lock(this->writer_mutex);
+      taken = std::exchange(this->writer_progress, {});
     }
     if (taken.failure.has_value()) {
-      this->group->StorageFailed(*taken.failure);
+      this->group->OnStorageFailed(*taken.failure);
       return;
     }
     if (taken.snapshot.has_value()) {
-      this->group->SnapshotSaved(*taken.snapshot);
+      this->group->OnSnapshotSaved(*taken.snapshot);
     }
     if (taken.synced.has_value()) {
-      this->group->Synced(*taken.synced);
+      this->group->OnSynced(*taken.synced);
     }
   }
 
-  /// Runs on the deciding and the writing thread; the addresses are refreshed
+  /// Runs on the event loop and log writer threads; the addresses are refreshed
   /// by the former.
   void SendMessages(const std::vector<consensus::RaftMessage>& messages) {
     for (const consensus::RaftMessage& message : messages) {
@@ -215,7 +218,7 @@
     }
   }
 
-  void RefuseFull(transport::StreamId stream) {
+  void RejectOverloaded(transport::StreamId stream) {
     statemachine::CommandReply reply;
     reply.code = static_cast<int>(ResultCode::kOverloaded);
     reply.text = "this control member has too much to do";
@@ -223,20 +226,20 @@
     this->server->Finish(stream);
   }
 
-  void Decide() {
+  void EventLoop() {
     while (!this->events.Closed()) {
-      for (Event& event : this->events.PopAll(kTick)) {
+      for (Event& event : this->events.PopAll(kTickInterval)) {
         std::visit([this](auto& body) { this->On(body); }, event);
       }
-      this->TakeWriterNews();
-      this->group->Pump();
+      this->ProcessWriterProgress();
+      this->group->ProcessReady();
       const Time now = MonotonicNow();
-      const bool led =
+      const bool is_leader =
           this->group->raft().role() == consensus::RaftRole::kLeader;
-      if (led != this->was_leader) {
+      if (is_leader != this->was_leader) {
         this->leader_since = now;
-        this->was_leader = led;
-        Log(LogLevel::kInfo, led ? "leads" : "follows",
+        this->was_leader = is_leader;
+        Log(LogLevel::kInfo, is_leader ? "leads" : "follows",
             {{"term", this->group->raft().term()}});
       }
       this->RefreshAddresses();
@@ -292,8 +295,8 @@
 
   void OnHeartbeat(const PeerRequest& request) {
     const auto heartbeat = DecodeMessage<Heartbeat>(request.body);
-    // An isolated leader stops answering here too: check quorum makes it step
-    // down.
+    // An isolated leader stops answering heartbeats too: check quorum makes it
+    // step down.
     if (!this->group->raft().LeaderReady()) {
       statemachine::CommandReply reply;
       reply.code = static_cast<int>(ResultCode::kNotLeader);
@@ -306,16 +309,17 @@
     this->fleet.Heard(heartbeat.report, now);
     this->fleet.Refresh(now);
     HeartbeatReply body;
-    const documents::DocumentStore& book = this->group->state().documents();
-    body.documents = {book.revision(),
-                      book.ChangesSince(heartbeat.report.revision)};
+    const documents::DocumentStore& documents =
+        this->group->state().documents();
+    body.documents = {documents.revision(),
+                      documents.ChangesSince(heartbeat.report.revision)};
     body.fleet_version = this->FleetVersion();
     body.has_batch_work =
         this->group->state().jobs().HasOpenJobs(heartbeat.report.service);
     body.fleet_settled = now - this->leader_since >
                          this->settings.heartbeat * kHeartbeatsUntilDead;
-    // Sides need no list: sent to each, it would grow with the square of
-    // the fleet.
+    // Gates need no list: sending it to each would cost traffic that grows with
+    // the square of the fleet.
     if (heartbeat.report.role == "entry" &&
         heartbeat.fleet_version != body.fleet_version) {
       body.members = this->fleet.Members(now);
@@ -325,7 +329,7 @@
     this->AnswerStream(request.stream, EncodeMessage(reply));
   }
 
-  /// Versions of different leaders must not be taken for one another.
+  /// Includes the term, so that versions of different leaders never match.
   std::uint64_t FleetVersion() const {
     constexpr unsigned kTermShift = 32;
     return (this->group->raft().term() << kTermShift) + this->fleet.version();
@@ -342,7 +346,7 @@
             chunk.meta.blob_length -
             std::min(chunk.meta.blob_length, wanted.offset);
         chunk.bytes = this->group->blobs().ReadAt(
-            wanted.offset, std::min<std::uint64_t>(left, kSnapshotChunk));
+            wanted.offset, std::min<std::uint64_t>(left, kSnapshotChunkBytes));
       } else {
         this->FillStateChunk(wanted, chunk);
       }
@@ -353,8 +357,8 @@
   }
 
   void FillStateChunk(const SnapshotRequest& wanted, SnapshotChunk& chunk) {
-    const bool fresh = !this->sent_snapshot.has_value() || wanted.offset == 0;
-    if (fresh) {
+    const bool reload = !this->sent_snapshot.has_value() || wanted.offset == 0;
+    if (reload) {
       this->sent_snapshot =
           consensus::DurableLog::ReadSnapshot(*this->files, wanted.group);
     }
@@ -365,7 +369,7 @@
     chunk.bytes = this->sent_snapshot->second.substr(
         std::min<std::size_t>(wanted.offset,
                               this->sent_snapshot->second.size()),
-        kSnapshotChunk);
+        kSnapshotChunkBytes);
   }
 
   void Answer(RequestToken token, const statemachine::CommandReply& reply) {
@@ -393,26 +397,28 @@
                  AnswerQuery(this->group->state(), found->second, status));
   }
 
-  void On(const PeerGone& gone) { this->reads.erase(gone.stream); }
-  void On(const WriterHasNews&) {
-  }  // It wakes the thread; TakeWriterNews follows.
+  void On(const PeerCancelled& cancelled) {
+    this->reads.erase(cancelled.stream);
+  }
+  void On(const WriterProgressed&) {
+  }  // Wakes the thread, which then calls ProcessWriterProgress.
   void On(const PlatformList& list) {
     this->fleet.PlatformSaysLeaving(list.leaving);
   }
-  void On(const DumpWanted& wanted) {
-    wanted.answer->set_value(this->BuildDump());
+  void On(const DumpRequest& request) {
+    request.answer->set_value(this->BuildDump());
   }
-  void On(const SnapshotArrived& arrived) {
+  void On(const SnapshotFetched& fetched) {
     this->fetching = false;
-    if (arrived.snapshot.has_value()) {
-      this->group->Install(arrived.snapshot->meta, arrived.snapshot->state,
-                           arrived.snapshot->blob_file,
-                           arrived.snapshot->blob_start);
+    if (fetched.snapshot.has_value()) {
+      this->group->Install(fetched.snapshot->meta, fetched.snapshot->state,
+                           fetched.snapshot->blob_file,
+                           fetched.snapshot->blob_start);
     }
   }
-  void On(const LeaveWanted&) {
+  void On(const LeaveRequest&) {
     this->leaving = true;
-    this->group->HandOver(MonotonicNow());
+    this->group->TransferLeadership(MonotonicNow());
   }
 
   nlohmann::json BuildDump() {
@@ -447,35 +453,36 @@
   }
 
   void FetchLoop() {
-    while (!this->fetches.Closed()) {
-      const auto wanted = this->fetches.Pop(std::chrono::milliseconds(200));
+    while (!this->fetch_requests.Closed()) {
+      const auto wanted =
+          this->fetch_requests.Pop(std::chrono::milliseconds(200));
       if (!wanted.has_value()) {
         continue;
       }
-      SnapshotArrived arrived;
+      SnapshotFetched fetched;
       try {
-        arrived.snapshot = FetchSnapshot(this->client, wanted->first,
+        fetched.snapshot = FetchSnapshot(this->client, wanted->first,
                                          *this->files, kGroup, wanted->second);
       } catch (const ResultError& error) {
         Log(LogLevel::kWarn, "snapshot_fetch_failed",
             {{"reason", error.what()}});
       }
-      this->events.Push(std::move(arrived));
+      this->events.Push(std::move(fetched));
     }
   }
 
   void PlatformLoop() {
-    constexpr std::chrono::milliseconds kEvery{250};
+    constexpr std::chrono::milliseconds kReadInterval{250};
     while (!this->stopping) {
       try {
         this->events.TryPush(
             PlatformList{ReadPlatformList(this->settings.platform_list)});
       } catch (const std::exception& error) {
-        // A list that cannot be read changes nothing: the last one stands.
+        // An unreadable list changes nothing: the last one remains in force.
         Log(LogLevel::kDebug, "platform_list_unreadable",
             {{"reason", error.what()}});
       }
-      std::this_thread::sleep_for(kEvery);
+      std::this_thread::sleep_for(kReadInterval);
     }
   }
 
@@ -483,13 +490,13 @@
   Metrics& metrics;
   std::unique_ptr<storage::FileSystem> files;
   BoundedRing<Event> events;
-  BoundedRing<std::pair<std::string, std::uint64_t>> fetches;
+  BoundedRing<std::pair<std::string, std::uint64_t>> fetch_requests;
   transport::PeerClient client;
   std::unique_ptr<GroupMember> group;
   fleet::FleetTable fleet;
   std::map<RequestToken, Query> reads;
-  std::mutex news_mutex;
-  WriterNews news;
+  std::mutex writer_mutex;
+  WriterProgress writer_progress;
   std::mutex address_mutex;
   std::map<consensus::MemberId, std::string> addresses;
   std::optional<std::pair<consensus::SnapshotMeta, std::string>> sent_snapshot;
@@ -499,13 +506,14 @@
   std::atomic<bool> leaving = false;
   std::atomic<bool> stopping = false;
   std::atomic<bool> healthy = false;
-  std::thread decider;
-  std::thread fetcher;
-  std::thread platform;
-  /// Last, and not reset before: its thread refuses requests through this
-  /// pointer until the server is gone. Symptom guarded against: a member that
-  /// ends while requests arrive crashes, 15 of 50 test runs on a busy machine;
-  /// reset() makes the pointer null before it waits for that thread.
+  std::thread event_thread;
+  std::thread fetch_thread;
+  std::thread platform_thread;
+  /// Declared last and never reset: its thread refuses requests through this
+  /// pointer until the server is destroyed, and reset() would set the pointer
+  /// to null before it waits for that thread. A member that stops while
+  /// requests arrive would then crash, as it did in 15 of 50 test runs on a
+  /// busy machine.
   std::unique_ptr<transport::PeerServer> server;
 };
 
@@ -514,14 +522,14 @@
 
 ControlServer::~ControlServer() = default;
 
-void ControlServer::BeginLeave() { this->impl->events.TryPush(LeaveWanted{}); }
+void ControlServer::BeginLeave() { this->impl->events.TryPush(LeaveRequest{}); }
 
 nlohmann::json ControlServer::Dump() const {
-  constexpr std::chrono::seconds kPatience{2};
+  constexpr std::chrono::seconds kTimeout{2};
   auto answer = std::make_shared<std::promise<nlohmann::json>>();
   std::future<nlohmann::json> future = answer->get_future();
-  if (!this->impl->events.TryPush(DumpWanted{answer}) ||
-      future.wait_for(kPatience) != std::future_status::ready) {
+  if (!this->impl->events.TryPush(DumpRequest{answer}) ||
+      future.wait_for(kTimeout) != std::future_status::ready) {
     return {{"role", "control"},
             {"error", "the deciding thread did not answer"}};
   }
--- a/src/control/internal/groupmember.cpp
+++ b/src/control/internal/groupmember.cpp
@@ -11,13 +11,13 @@
 namespace papayarack::control {
 namespace {
 
-constexpr std::uint64_t kSnapshotAfterBytes = 8U << 20U;
-constexpr std::int64_t kPassTimeEveryMs = 60'000;
-constexpr std::size_t kCopyChunk = 1U << 20U;
-constexpr RequestToken kNobody = 0;
+constexpr std::uint64_t kSnapshotIntervalBytes = 8U << 20U;
+constexpr std::int64_t kAdvanceTimeIntervalMs = 60'000;
+constexpr std::size_t kCopyChunkBytes = 1U << 20U;
+constexpr RequestToken kNoRequest = 0;
 
-/// Only the leader's clock counts, so that members with unlike clocks decide
-/// alike.
+/// Stamps a command with the time of the leader, so that members with different
+/// clocks apply it alike.
 void StampTime(statemachine::Command& command, WallMillis wall) {
   using namespace statemachine;  // NOLINT(google-build-using-namespace):
                                  // visitors below
@@ -39,7 +39,7 @@
              command);
 }
 
-const char* NameOf(consensus::RaftRole role) {
+const char* RoleName(consensus::RaftRole role) {
   switch (role) {
     case consensus::RaftRole::kFollower:
       return "follower";
@@ -92,26 +92,26 @@
   }
   this->core->Tick(now);
   const bool due = this->machine.NeedsAdvanceTime(wall) ||
-                   wall - this->last_pass_time > kPassTimeEveryMs;
-  if (this->core->LeaderReady() && due && !this->pass_time_under_way) {
-    this->pass_time_under_way = true;
-    this->last_pass_time = wall;
-    this->Propose(kNobody, statemachine::AdvanceTime{}, wall);
+                   wall - this->last_advance_time > kAdvanceTimeIntervalMs;
+  if (this->core->LeaderReady() && due && !this->advance_time_pending) {
+    this->advance_time_pending = true;
+    this->last_advance_time = wall;
+    this->Propose(kNoRequest, statemachine::AdvanceTime{}, wall);
   }
   this->MaybePromoteLearner();
-  this->Pump();
+  this->ProcessReady();
 }
 
 void GroupMember::Step(const consensus::RaftMessage& message, Time now) {
   if (!this->Failed()) {
     this->core->Step(message, now);
-    this->Pump();
+    this->ProcessReady();
   }
 }
 
 void GroupMember::Refuse(RequestToken token, ResultCode code,
                          const std::string& text) {
-  if (token == kNobody) {
+  if (token == kNoRequest) {
     return;
   }
   statemachine::CommandReply reply;
@@ -133,17 +133,19 @@
     return;
   }
   try {
-    const consensus::ProposalPlace place =
+    const consensus::ProposalPlace position =
         this->core->Propose(EncodeVariant(command));
-    this->waiting.insert({place.index, {token, place.term}});
+    this->waiting.insert({position.index, {token, position.term}});
   } catch (const ResultError& error) {
-    this->pass_time_under_way = this->pass_time_under_way && token != kNobody;
+    this->advance_time_pending =
+        this->advance_time_pending && token != kNoRequest;
     this->Refuse(token, error.result().code, error.what());
   }
 }
 
-/// A gate that holds nothing, reports nothing and finds no work changes no
-/// state. Thousands of idle gates asking would otherwise fill the log.
+/// Answers a pull without the log if the gate leases nothing, reports nothing
+/// and there is no work: it changes no state, and thousands of idle gates would
+/// otherwise fill the log.
 bool GroupMember::AnswerEmptyPull(RequestToken token,
                                   const statemachine::Command& command) {
   const auto* pull = std::get_if<statemachine::PullItems>(&command);
@@ -178,12 +180,12 @@
         return member.id == change.id;
       });
     }
-    const consensus::ProposalPlace place = this->core->ProposeMembers(list);
-    this->waiting.insert({place.index, {token, place.term}});
+    const consensus::ProposalPlace position = this->core->ProposeMembers(list);
+    this->waiting.insert({position.index, {token, position.term}});
   } catch (const ResultError& error) {
     this->Refuse(token, error.result().code, error.what());
   }
-  this->Pump();
+  this->ProcessReady();
 }
 
 void GroupMember::MaybePromoteLearner() {
@@ -200,7 +202,7 @@
         this->core->ProposeMembers(list);
         Log(LogLevel::kInfo, "learner_votes_now", {{"member", member.id}});
       } catch (const ResultError&) {
-        // Another change is under way; the next tick tries again.
+        // Another membership change is in progress; the next tick retries.
       }
       return;
     }
@@ -215,12 +217,12 @@
   this->core->RequestRead(token, now);
 }
 
-void GroupMember::Synced(const consensus::RaftBatch& batch) {
+void GroupMember::OnSynced(const consensus::RaftBatch& batch) {
   this->core->Persisted(batch);
-  this->Pump();
+  this->ProcessReady();
 }
 
-void GroupMember::Pump() {
+void GroupMember::ProcessReady() {
   if (this->Failed()) {
     return;
   }
@@ -234,7 +236,7 @@
       this->Apply(entry);
     }
   } catch (const ResultError& error) {
-    this->StorageFailed(error.what());
+    this->OnStorageFailed(error.what());
     return;
   }
   for (const std::uint64_t token : ready.reads_ready) {
@@ -264,8 +266,8 @@
   }
   const auto [first, last] = this->waiting.equal_range(entry.index);
   for (auto waiter = first; waiter != last; ++waiter) {
-    if (waiter->second.token == kNobody) {
-      this->pass_time_under_way = false;
+    if (waiter->second.token == kNoRequest) {
+      this->advance_time_pending = false;
     } else if (waiter->second.term == entry.term) {
       this->handlers.answer(waiter->second.token, reply);
     } else {
@@ -277,7 +279,7 @@
 }
 
 void GroupMember::FailWaiting() {
-  this->pass_time_under_way = false;
+  this->advance_time_pending = false;
   for (const auto& [index, waiter] : std::exchange(this->waiting, {})) {
     this->Refuse(waiter.token, ResultCode::kUnknownOutcome,
                  "leadership was lost before the command was confirmed");
@@ -285,8 +287,8 @@
 }
 
 void GroupMember::MaybeSnapshot() {
-  if (this->snapshot_under_way ||
-      this->bytes_since_snapshot < kSnapshotAfterBytes) {
+  if (this->snapshot_pending ||
+      this->bytes_since_snapshot < kSnapshotIntervalBytes) {
     return;
   }
   consensus::SnapshotMeta meta;
@@ -294,14 +296,14 @@
   meta.term = this->applied_term;
   meta.members = this->core->log().MembersAt(this->applied);
   meta.blob_length = this->blob_store.length();
-  this->snapshot_under_way = true;
+  this->snapshot_pending = true;
   this->bytes_since_snapshot = 0;
   this->writer->OfferSnapshot(std::move(meta), this->machine.Save(),
                               this->blob_store.TakeDirtyFiles());
 }
 
-void GroupMember::SnapshotSaved(const consensus::SnapshotMeta& meta) {
-  this->snapshot_under_way = false;
+void GroupMember::OnSnapshotSaved(const consensus::SnapshotMeta& meta) {
+  this->snapshot_pending = false;
   this->core->Compact(meta);
 }
 
@@ -318,8 +320,9 @@
     }
     const std::uint64_t size =
         this->files.Exists(blob_file) ? this->files.Size(blob_file) : 0;
-    for (std::uint64_t offset = 0; offset < size; offset += kCopyChunk) {
-      this->blob_store.Append(this->files.Read(blob_file, offset, kCopyChunk));
+    for (std::uint64_t offset = 0; offset < size; offset += kCopyChunkBytes) {
+      this->blob_store.Append(
+          this->files.Read(blob_file, offset, kCopyChunkBytes));
     }
     this->blob_store.Sync();
     this->log.InstallSnapshot(meta, state);
@@ -331,12 +334,12 @@
     this->bytes_since_snapshot = 0;
     Log(LogLevel::kInfo, "snapshot_installed", {{"index", meta.index}});
   } catch (const ResultError& error) {
-    this->StorageFailed(error.what());
+    this->OnStorageFailed(error.what());
   }
-  this->Pump();
+  this->ProcessReady();
 }
 
-void GroupMember::StorageFailed(const std::string& reason) {
+void GroupMember::OnStorageFailed(const std::string& reason) {
   this->failure = reason;
   Log(LogLevel::kError, "storage_failed",
       {{"group", this->options.group}, {"reason", reason}});
@@ -364,7 +367,8 @@
   }
   return {
       {"group", this->options.group},
-      {"state", this->Failed() ? "storage failed" : NameOf(this->core->role())},
+      {"state",
+       this->Failed() ? "storage failed" : RoleName(this->core->role())},
       {"failure", this->failure},
       {"term", this->core->term()},
       {"leader", this->core->leader()},
--- a/src/control/internal/groupmember.h
+++ b/src/control/internal/groupmember.h
@@ -19,11 +19,11 @@
 
 namespace papayarack::control {
 
-/// Names a request that waits for the log.
+/// Identifies a request that waits for the log.
 using RequestToken = std::uint64_t;
 
-/// Where a group member's decisions go. `send` and `synced` may run on the
-/// writer's thread.
+/// Callbacks of a group member. `send` and `synced` may run on the thread of
+/// the log writer.
 struct GroupHandlers {
   std::function<void(const std::vector<consensus::RaftMessage>&)> send;
   std::function<void(const consensus::RaftBatch&)> synced;
@@ -34,8 +34,8 @@
   std::function<void(consensus::MemberId from)> fetch_snapshot;
 };
 
-/// One group on one member: core, durable log, state machine and the requests
-/// that wait. Thread safety: none, the deciding thread.
+/// One replication group on one member: Raft core, durable log, state machine
+/// and waiting requests. Thread safety: none, the event loop thread.
 class GroupMember {
  public:
   /// Recovers from the data folder. Throws ResultError(kStorageDamaged).
@@ -44,27 +44,27 @@
 
   void Tick(Time now, WallMillis wall);
   void Step(const consensus::RaftMessage& message, Time now);
-  /// Proposes; the answer comes by handlers.answer. Refusals are answered at
-  /// once.
+  /// Proposes a command; the reply comes through handlers.answer, at once if it
+  /// is refused.
   void Propose(RequestToken token, statemachine::Command command,
                WallMillis wall);
   void ProposeMembers(RequestToken token, const MembersChange& change);
-  /// Asks for a confirmed read; read_confirmed or an answer with a refusal
+  /// Requests a confirmed read; read_confirmed or an answer with a refusal
   /// follows.
   void Read(RequestToken token, Time now);
-  void Synced(const consensus::RaftBatch& batch);
-  void SnapshotSaved(const consensus::SnapshotMeta& meta);
-  /// Takes a fetched snapshot whose blob bytes after our own lie in
-  /// `blob_file`.
+  void OnSynced(const consensus::RaftBatch& batch);
+  void OnSnapshotSaved(const consensus::SnapshotMeta& meta);
+  /// Installs a fetched snapshot; `blob_file` holds the blob bytes from
+  /// `blob_start` on.
   void Install(const consensus::SnapshotMeta& meta, std::string_view state,
                const std::string& blob_file, std::uint64_t blob_start);
-  void StorageFailed(const std::string& reason);
-  void HandOver(Time now) {
+  void OnStorageFailed(const std::string& reason);
+  void TransferLeadership(Time now) {
     this->core->TransferLeadership(now);
-    this->Pump();
+    this->ProcessReady();
   }
-  /// Does what the core asks for; call after each of the above.
-  void Pump();
+  /// Processes the output of the core; call after each of the above.
+  void ProcessReady();
 
   const consensus::RaftCore& raft() const { return *this->core; }
   const statemachine::StateMachine& state() const { return this->machine; }
@@ -100,10 +100,10 @@
   consensus::Index applied = 0;
   consensus::Term applied_term = 0;
   std::uint64_t bytes_since_snapshot = 0;
-  bool snapshot_under_way = false;
-  bool pass_time_under_way = false;
+  bool snapshot_pending = false;
+  bool advance_time_pending = false;
   WallMillis last_wall = 0;
-  WallMillis last_pass_time = 0;
+  WallMillis last_advance_time = 0;
   std::string failure;
 };
 
--- a/src/control/internal/queries.cpp
+++ b/src/control/internal/queries.cpp
@@ -5,7 +5,7 @@
 namespace papayarack::control {
 namespace {
 
-constexpr std::size_t kReadBytes = 256U << 10U;
+constexpr std::size_t kMaxReadBytes = 256U << 10U;
 
 template <typename Body>
 statemachine::CommandReply ReplyWith(const Body& body) {
@@ -18,7 +18,7 @@
                                    const std::string& id,
                                    const std::string& owner) {
   const jobs::JobSummary* job = state.jobs().Find(id);
-  // A foreign job is reported like an absent one, so that ids of others tell
+  // A job of another owner is reported like a missing one, so that ids reveal
   // nothing.
   if (job == nullptr || (!owner.empty() && job->request.owner != owner)) {
     throw ResultError(ResultCode::kNotFound, "no such job: " + id);
@@ -32,7 +32,7 @@
   ResultsReply reply;
   reply.items = job.items;
   reply.lines = state.jobs().ReadResults(
-      query.job, query.errors, query.from_item, kReadBytes, reply.next_item);
+      query.job, query.errors, query.from_item, kMaxReadBytes, reply.next_item);
   return ReplyWith(reply);
 }
 
@@ -42,7 +42,7 @@
   if (file == nullptr || (!query.owner.empty() && file->owner != query.owner)) {
     throw ResultError(ResultCode::kNotFound, "no such file: " + query.file);
   }
-  return ReplyWith(FileReply{state.files().Read(*file, query.at, kReadBytes),
+  return ReplyWith(FileReply{state.files().Read(*file, query.at, kMaxReadBytes),
                              file->bytes, file->complete, file->created_ms});
 }
 
--- a/src/control/internal/queries.h
+++ b/src/control/internal/queries.h
@@ -6,9 +6,9 @@
 
 namespace papayarack::control {
 
-/// Answers a question from the state machine. Precondition: the read was
-/// confirmed by a quorum. Errors come as a reply with a code. QueryStatus is
-/// filled by the caller with the fleet. Thread safety: the deciding thread.
+/// Answers a query from the state machine. Precondition: the read was confirmed
+/// by a quorum. Errors are returned as a reply with a code. For QueryStatus the
+/// caller supplies the fleet in `status`. Thread safety: the event loop thread.
 statemachine::CommandReply AnswerQuery(const statemachine::StateMachine& state,
                                        const Query& query,
                                        const StatusReply& status);
--- a/src/control/internal/snapshotfetcher.cpp
+++ b/src/control/internal/snapshotfetcher.cpp
@@ -44,7 +44,7 @@
     }
     fetched.state += chunk.bytes;
   }
-  // What both hold is equal byte for byte; only the rest is fetched.
+  // Bytes that both members hold are identical; only the rest is fetched.
   const bool keep_own =
       own_blobs >= chunk.first_blob && own_blobs <= fetched.meta.blob_length;
   fetched.blob_start = keep_own ? own_blobs : chunk.first_blob;
@@ -53,15 +53,15 @@
   std::uint64_t offset = fetched.blob_start;
   while (offset < fetched.meta.blob_length) {
     chunk = FetchChunk(client, source, {group, true, offset});
-    const std::size_t useful = std::min<std::uint64_t>(
+    const std::size_t count = std::min<std::uint64_t>(
         chunk.bytes.size(), fetched.meta.blob_length - offset);
-    if (useful == 0) {
+    if (count == 0) {
       throw ResultError(ResultCode::kUnknownOutcome,
                         "the source has fewer bytes than it said");
     }
     const std::string_view bytes = chunk.bytes;
-    files.Append(fetched.blob_file, bytes.substr(0, useful));
-    offset += useful;
+    files.Append(fetched.blob_file, bytes.substr(0, count));
+    offset += count;
   }
   return fetched;
 }
--- a/src/control/internal/snapshotfetcher.h
+++ b/src/control/internal/snapshotfetcher.h
@@ -10,19 +10,19 @@
 
 namespace papayarack::control {
 
-/// A snapshot brought from another member.
+/// A snapshot fetched from another member.
 struct FetchedSnapshot {
   consensus::SnapshotMeta meta;
   std::string state;
-  std::string blob_file;  ///< Holds the blob bytes from blob_start on.
+  std::string blob_file;  ///< Blob bytes from blob_start on.
   std::uint64_t blob_start = 0;
 };
 
 /// Fetches the newest snapshot of `group` from `address`: the state, and the
 /// blob bytes beyond `own_blobs`, which are written to a file and never held in
-/// memory as a whole. Throws ResultError when the source goes away or its
-/// snapshot changes meanwhile. Thread safety: any thread that may wait for the
-/// network.
+/// memory as a whole. Throws ResultError if the source becomes unreachable or
+/// its snapshot changes meanwhile. Thread safety: any thread that may block on
+/// the network.
 FetchedSnapshot FetchSnapshot(transport::PeerClient& client,
                               const std::string& address,
                               storage::FileSystem& files,
--- a/src/control/tests/control_tests.cpp
+++ b/src/control/tests/control_tests.cpp
@@ -11,13 +11,13 @@
 namespace papayarack::control {
 namespace {
 
-constexpr std::chrono::milliseconds kPatience{20000};
+constexpr std::chrono::milliseconds kTimeout{20000};
 
-/// A loopback address of this process alone. Symptom guarded against: a test
-/// cannot listen, "Address already in use", when others run beside it. Members
-/// must know each other's ports before they start, so a port is looked for and
-/// bound later; meanwhile another process may take it, also for a connection
-/// that it makes, which comes from 127.0.0.1.
+/// Returns a loopback address for this process alone. Guards against "Address
+/// already in use" when other tests run in parallel: members must know the
+/// ports of each other before they start, so a free port is found first and
+/// bound later. In between another process could take it, also as the source
+/// port of a connection, which uses 127.0.0.1.
 std::string OwnHost() {
   const int process = getpid();
   const auto part = [process](int shift) {
@@ -94,35 +94,37 @@
 TEST_CASE("three control members on real files and sockets") {
   Members members(3);
   ControlClient control(members.client, members.list);
-  REQUIRE(control.Run(Version(1), kPatience).code == 0);
+  REQUIRE(control.Run(Version(1), kTimeout).code == 0);
 
-  SECTION("answer a confirmed read with what was accepted") {
-    const auto reply = control.Ask(QueryDocument{"counter"}, kPatience);
+  SECTION("answer a confirmed read with the accepted document") {
+    const auto reply = control.Ask(QueryDocument{"counter"}, kTimeout);
     CHECK(DecodeMessage<documents::AcceptedDocument>(reply.body).text ==
           "text 1");
   }
-  // Symptom: an accepted document is lost or reverts. Sequence: the leader dies
-  // right after it acknowledged; it comes back later with the old state. Cause:
-  // the answer left before a majority had synced the entry.
+  // Guards against an accepted document that is lost or reverted: the leader
+  // fails right after the acknowledgement and comes back later with its old
+  // state, because the answer was sent before a majority had synced the entry.
   SECTION(
-      "keep what was acknowledged when the leader is lost, and when it is "
+      "keep acknowledged documents when the leader fails and when it comes "
       "back") {
     const std::uint64_t leader = members.Leader();
     REQUIRE(leader != 0);
     members.servers.erase(leader);
-    CHECK(control.Run(Version(2), kPatience).code == 0);
+    CHECK(control.Run(Version(2), kTimeout).code == 0);
     members.Start(leader);
-    CHECK(control.Run(Version(2), kPatience).code == 0);
-    CHECK(control.Run(Version(1), kPatience).code == 0);
-    const auto reply = control.Ask(QueryDocument{"counter"}, kPatience);
+    CHECK(control.Run(Version(2), kTimeout).code == 0);
+    CHECK(control.Run(Version(1), kTimeout).code == 0);
+    const auto reply = control.Ask(QueryDocument{"counter"}, kTimeout);
     CHECK(DecodeMessage<documents::AcceptedDocument>(reply.body).text ==
           "text 2");
   }
-  SECTION("tell a process by heartbeat what has changed and who is there") {
+  SECTION(
+      "answer the heartbeat of a process with changed documents and the "
+      "fleet") {
     Heartbeat heartbeat;
     heartbeat.report.name = "side-1";
     heartbeat.report.role = "entry";
-    const auto reply = control.SendHeartbeat(heartbeat, kPatience);
+    const auto reply = control.SendHeartbeat(heartbeat, kTimeout);
     const auto body = DecodeMessage<HeartbeatReply>(reply.body);
     CHECK(body.documents.revision == 1);
     CHECK(body.documents.changes.size() == 1);
