--- a/src/documents/documentstore.h
+++ b/src/documents/documentstore.h
@@ -13,8 +13,8 @@
 
 namespace papayarack::documents {
 
-/// Numbers accepted documents in the order of acceptance, over all services.
-/// Never falls.
+/// Sequence number of accepted documents over all services, in the order of
+/// acceptance. Never decreases.
 using Revision = std::uint64_t;
 
 /// A document in force.
@@ -29,25 +29,26 @@
 /// The answer to a submission.
 struct SubmitOutcome {
   int code = 0;
-  Revision revision = 0;      ///< Of the accepted or already accepted document.
-  AcceptedDocument in_force;  ///< On a conflict: what stands.
+  Revision revision =
+      0;  ///< Revision of the document, also if it was accepted before.
+  AcceptedDocument in_force;  ///< On a conflict: the current document.
   MSGPACK_DEFINE(code, revision, in_force)
 };
 
-/// All service documents, as the log decides them. The rules: version n + 1
-/// follows n; the same version with the same content gets the first answer
-/// again; anything else is a conflict. Deterministic: the same calls in the
-/// same order give the same state. Thread safety: none.
+/// Stores the service documents; part of the replicated state machine. Version
+/// n + 1 must follow version n; a resend of the same version and content gets
+/// the first answer again; anything else is a conflict. Deterministic: the same
+/// calls in the same order give the same state. Thread safety: none.
 class DocumentStore {
  public:
-  /// Precondition: `text` is canonical and its service and version are those
-  /// given.
+  /// Precondition: `text` is canonical, and `service` and `version` are those
+  /// of the document.
   SubmitOutcome Submit(std::string_view service, std::uint64_t version,
                        std::string_view text);
-  /// The document in force, or nothing.
+  /// Returns the document in force, or null.
   const AcceptedDocument* Find(std::string_view service) const;
-  /// Documents in force that were accepted after `since`, each service once at
-  /// most.
+  /// Documents in force that were accepted after `since`, at most one per
+  /// service.
   std::vector<AcceptedDocument> ChangesSince(Revision since) const;
   Revision revision() const { return this->last_revision; }
   std::vector<std::string> Services() const;
@@ -59,7 +60,7 @@
  private:
   static constexpr std::size_t kRememberedVersions = 64;
 
-  /// One earlier acceptance, remembered to answer a resend.
+  /// An accepted version, kept to answer a resend.
   struct PastVersion {
     std::uint64_t version = 0;
     Revision revision = 0;
--- a/src/documents/internal/documentstore.cpp
+++ b/src/documents/internal/documentstore.cpp
@@ -22,8 +22,8 @@
     outcome.in_force = found->second.current;
     const auto past =
         std::ranges::find(found->second.past, version, &PastVersion::version);
-    // An operator who lost the answer sends again: the first answer stands,
-    // also when a later version has come into force meanwhile.
+    // A resend after a lost answer gets the first answer, even if a later
+    // version is in force by now.
     if (past != found->second.past.end() && past->content_hash == hash) {
       outcome.code = static_cast<int>(ResultCode::kOk);
       outcome.revision = past->revision;
