--- a/src/routes/fleetconfiguration.h
+++ b/src/routes/fleetconfiguration.h
@@ -11,12 +11,12 @@
 
 namespace papayarack::routes {
 
-/// What may be done with the requests of a route.
+/// How the requests of a route may be handled.
 enum class RouteKind {
   kIdempotent,     ///< Plain answers; may run more than once.
   kNonIdempotent,  ///< Plain answers; may run at most once.
   kStreaming,      ///< Events; may run more than once only if resumable.
-  kBatch,          ///< Jobs of items that run later.
+  kBatch,          ///< Jobs of items that run asynchronously.
 };
 
 /// One target of a route and its share of the requests.
@@ -25,14 +25,16 @@
   std::uint32_t weight = 1;
 };
 
-/// What only batch routes have.
-struct BatchTerms {
+/// Settings that only batch routes have.
+struct BatchSettings {
   std::chrono::milliseconds result_deadline{0};  ///< From the first submission.
-  std::chrono::milliseconds max_item_wait{0};    ///< Then it may be given up.
-  std::uint64_t max_waiting_tokens = 0;          ///< Zero: no limit.
+  std::chrono::milliseconds max_item_wait{
+      0};  ///< After that the item may be given up.
+  std::uint64_t max_waiting_tokens = 0;  ///< Zero: no limit.
 };
 
-/// One route: which requests it takes, where they go, what is owed to them.
+/// A route: the requests it matches, their targets, and their limits and
+/// latency targets.
 struct Route {
   std::string name;
   std::string host;
@@ -40,14 +42,15 @@
   RouteKind kind = RouteKind::kIdempotent;
   std::chrono::milliseconds timeout{0};
   std::chrono::milliseconds target_latency{0};
-  std::chrono::milliseconds target_gap{0};  ///< Between events; zero: none.
-  int priority = 0;                         ///< Zero is the most urgent.
+  std::chrono::milliseconds target_gap{
+      0};            ///< Between events; zero: no target.
+  int priority = 0;  ///< Zero is the highest.
   std::vector<WeightedService> targets;
   std::uint32_t max_attempts = 1;
   bool resumable = false;
-  BatchTerms batch;
+  BatchSettings batch;
 
-  /// Names the route across configurations.
+  /// Identifies the route across configurations.
   std::string Key() const { return this->host + this->path_prefix; }
   /// Whether a request may be sent to a second replica after it may have run.
   bool MayRepeat() const {
@@ -56,15 +59,15 @@
   }
 };
 
-/// What is known of a service's replicas.
+/// The configured properties of a service.
 struct ServiceSpec {
   std::string name;
   std::string health_path;
-  std::uint32_t max_connections = 0;  ///< Of one replica, from all callers.
+  std::uint32_t max_connections = 0;  ///< Per replica, over all callers.
   std::uint32_t slots = 0;            ///< Zero: not a model engine.
 };
 
-/// What callers may send and how long they may take.
+/// Size and time limits for requests of callers.
 struct CallerLimits {
   std::size_t max_header_bytes = 16U << 10U;
   std::size_t max_body_bytes = 4U << 20U;
@@ -72,7 +75,7 @@
   std::chrono::milliseconds idle_timeout{15000};
 };
 
-/// A whole configuration of the fleet, as one operator wrote it.
+/// A complete configuration of the fleet, as submitted by an operator.
 struct FleetConfiguration {
   std::uint64_t version = 0;
   std::vector<Route> routes;
@@ -82,9 +85,10 @@
   const ServiceSpec* FindService(std::string_view name) const;
 };
 
-/// Checks the rules that hold between the parts: targets exist, no two routes
-/// share host and prefix, weights add up, timeouts are positive. Throws
-/// ResultError(kBadInput) that names the route. Thread safety: any thread.
+/// Checks the constraints between the parts: targets exist, no two routes share
+/// host and prefix, weights do not add up to zero, timeouts are positive.
+/// Throws ResultError(kBadInput) that names the route. Thread safety: any
+/// thread.
 void Validate(const FleetConfiguration& configuration);
 
 }  // namespace papayarack::routes
--- a/src/routes/internal/fleetconfiguration.cpp
+++ b/src/routes/internal/fleetconfiguration.cpp
@@ -14,9 +14,9 @@
 
 void ValidateRoute(const FleetConfiguration& configuration,
                    const Route& route) {
-  const bool slashes =
+  const bool valid_prefix =
       route.path_prefix.starts_with('/') && route.path_prefix.ends_with('/');
-  if (!slashes) {
+  if (!valid_prefix) {
     Reject(route, "the path prefix must begin and end with a slash");
   }
   if (route.timeout <= std::chrono::milliseconds(0)) {
--- a/src/routes/internal/routetable.cpp
+++ b/src/routes/internal/routetable.cpp
@@ -6,9 +6,9 @@
     : config(std::move(configuration)) {
   for (std::size_t i = 0; i < this->config.routes.size(); ++i) {
     const Route& route = this->config.routes[i];
-    HostRoutes& of_host = this->by_host[route.host];
-    of_host.by_prefix.emplace(route.path_prefix, i);
-    of_host.lengths.insert(route.path_prefix.size());
+    HostRoutes& host_routes = this->by_host[route.host];
+    host_routes.by_prefix.emplace(route.path_prefix, i);
+    host_routes.lengths.insert(route.path_prefix.size());
     this->by_key.emplace(route.Key(), i);
   }
 }
@@ -43,10 +43,10 @@
   for (const WeightedService& target : route.targets) {
     sum += target.weight;
   }
-  double left = draw * sum;
+  double remaining = draw * sum;
   for (const WeightedService& target : route.targets) {
-    left -= target.weight;
-    if (left < 0) {
+    remaining -= target.weight;
+    if (remaining < 0) {
       return target.service;
     }
   }
--- a/src/routes/routetable.h
+++ b/src/routes/routetable.h
@@ -14,16 +14,17 @@
 
 namespace papayarack::routes {
 
-/// The routes in force, for look-up by host and path. Immutable, so that a
-/// request keeps the table under which it was taken. Thread safety: any thread.
+/// The routes in force, for lookup by host and path. Immutable, so that a
+/// request keeps the table with which it was accepted. Thread safety: any
+/// thread.
 class RouteTable {
  public:
   explicit RouteTable(FleetConfiguration configuration);
 
-  /// The route of that host with the longest prefix that begins `path`; null
-  /// when there is none. `host` may carry a port.
+  /// Returns the route of `host` with the longest prefix that matches `path`;
+  /// null if there is none. `host` may include a port.
   const Route* Find(std::string_view host, std::string_view path) const;
-  /// The route with that Route::Key; null when there is none.
+  /// Returns the route with that Route::Key; null if there is none.
   const Route* FindKey(std::string_view key) const;
   const FleetConfiguration& configuration() const { return this->config; }
 
@@ -31,9 +32,9 @@
   FleetConfiguration config;
   /// The routes of one host.
   struct HostRoutes {
-    /// Positions in config.routes.
+    /// Index into config.routes by path prefix.
     std::map<std::string, std::size_t, std::less<>> by_prefix;
-    /// Of all prefixes, the longest first, each once.
+    /// Distinct lengths of the prefixes, longest first.
     std::set<std::size_t, std::greater<>> lengths;
   };
   std::unordered_map<std::string, HostRoutes> by_host;
@@ -42,7 +43,7 @@
 
 using RouteTablePtr = std::shared_ptr<const RouteTable>;
 
-/// Picks a target by weight; `draw` is uniform in [0, 1).
+/// Selects a target by weight; `draw` is uniform in [0, 1).
 const std::string& PickService(const Route& route, double draw);
 
 }  // namespace papayarack::routes
--- a/src/routes/tests/routes_tests.cpp
+++ b/src/routes/tests/routes_tests.cpp
@@ -24,8 +24,8 @@
   return configuration;
 }
 
-/// With `count` routes more, the route i named "i" and of prefix "/i/".
-FleetConfiguration MakeConfigurationOf(int count) {
+/// Adds `count` routes; route i is named "i" and has the prefix "/i/".
+FleetConfiguration MakeLargeConfiguration(int count) {
   FleetConfiguration configuration = MakeConfiguration();
   for (int i = 0; i < count; ++i) {
     const std::string name = std::to_string(i);
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-TEST_CASE("a configuration is checked as a whole") {
+TEST_CASE("a configuration is validated as a whole") {
   FleetConfiguration configuration = MakeConfiguration();
   CHECK_NOTHROW(Validate(configuration));
   SECTION("a route to an unknown service is refused") {
@@ -66,45 +66,45 @@
   CHECK(table.FindKey("shop.example/a/")->name == "all");
 }
 
-// Guards against a leader that is busy with look-ups alone: it asks for the
+// Guards against a leader that spends its time on lookups: it looks up the
 // route of each open batch ten times a second.
-TEST_CASE("finding a route by its key costs the same among many routes") {
-  constexpr int kLookUps = 2000;
-  constexpr int kNoisyClock = 10;
+TEST_CASE("looking up a route by its key costs the same with many routes") {
+  constexpr int kLookups = 2000;
+  constexpr int kClockNoiseFactor = 10;
   const auto cost_among = [&](int count) {
-    FleetConfiguration configuration = MakeConfigurationOf(count);
+    FleetConfiguration configuration = MakeLargeConfiguration(count);
     const std::string last = configuration.routes.back().Key();
     const RouteTable table(std::move(configuration));
     int found = 0;
     const auto cost = ProcessorTimeOf([&] {
-      for (int i = 0; i < kLookUps; ++i) {
+      for (int i = 0; i < kLookups; ++i) {
         found += table.FindKey(last) != nullptr ? 1 : 0;
       }
     });
-    CHECK(found == kLookUps);
+    CHECK(found == kLookups);
     return cost;
   };
-  CHECK(cost_among(4000) < kNoisyClock * cost_among(10));
+  CHECK(cost_among(4000) < kClockNoiseFactor * cost_among(10));
 }
 
-// Guards against processes that are busy with look-ups alone: each request, and
-// each batch item at each change of the configuration, asks for its route.
-TEST_CASE("finding a route by its path costs the same among many routes") {
-  constexpr int kLookUps = 2000;
-  constexpr int kNoisyClock = 10;
+// Guards against processes that spend their time on lookups: each request, and
+// each batch item after each change of the configuration, looks up its route.
+TEST_CASE("looking up a route by its path costs the same with many routes") {
+  constexpr int kLookups = 2000;
+  constexpr int kClockNoiseFactor = 10;
   const auto cost_among = [&](int count) {
-    const RouteTable table(MakeConfigurationOf(count));
+    const RouteTable table(MakeLargeConfiguration(count));
     int found = 0;
     const auto cost = ProcessorTimeOf([&] {
-      for (int i = 0; i < kLookUps; ++i) {
+      for (int i = 0; i < kLookups; ++i) {
         const Route* route = table.Find("shop.example", "/0/item");
         found += route != nullptr && route->name == "0" ? 1 : 0;
       }
     });
-    CHECK(found == kLookUps);
+    CHECK(found == kLookups);
     return cost;
   };
-  CHECK(cost_among(4000) < kNoisyClock * cost_among(10));
+  CHECK(cost_among(4000) < kClockNoiseFactor * cost_among(10));
 }
 
 TEST_CASE("requests are split by weight") {
