--- a/src/statemachine/commands.h
+++ b/src/statemachine/commands.h
@@ -42,7 +42,7 @@
   std::int64_t now_ms = 0;
   MSGPACK_DEFINE(job, owner, now_ms)
 };
-/// Reports ended attempts, then asks for items. Reply body: LeaseReply.
+/// Reports ended attempts, then requests items. Reply body: LeaseReply.
 struct PullItems {
   std::vector<jobs::ItemOutcome> outcomes;
   jobs::LeaseRequest lease;
@@ -50,28 +50,28 @@
 };
 struct LeaseReply {
   std::vector<jobs::LeasedItem> items;
-  std::vector<int> outcome_codes;  ///< One for each reported outcome.
+  std::vector<int> outcome_codes;  ///< One per reported outcome.
   std::vector<jobs::ItemKey>
-      stop;  ///< Held items whose job was cancelled or that ended.
+      stop;  ///< Held items of a job that was cancelled or has ended.
   MSGPACK_DEFINE(items, outcome_codes, stop)
 };
-/// Time passes: leases, claims and kept results run out. No reply body.
+/// Advances the time: expires leases, claims and kept results. No reply body.
 struct AdvanceTime {
   std::int64_t now_ms = 0;
   MSGPACK_DEFINE(now_ms)
 };
-/// Reply body: claims::ClaimOutcome.
+/// Claims an idempotency key. Reply body: claims::ClaimOutcome.
 struct MakeClaim {
   claims::ClaimRequest request;
   MSGPACK_DEFINE(request)
 };
-/// No reply body.
+/// Records the end of a claim. No reply body.
 struct EndClaim {
   claims::ClaimEnd end;
   MSGPACK_DEFINE(end)
 };
 
-/// What the log holds. Alternatives are only ever added at the end.
+/// A command in the log. Alternatives are only added at the end.
 using Command = std::variant<SubmitDocument, AppendFile, CreateJob, CancelJob,
                              PullItems, AdvanceTime, MakeClaim, EndClaim>;
 
@@ -79,9 +79,8 @@
 struct CommandReply {
   int code = 0;
   std::string text;
-  std::string body;  ///< The typed answer, encoded.
-  std::string
-      leader;  ///< With kNotLeader: the address of the leader, if known.
+  std::string body;    ///< The encoded reply of the command.
+  std::string leader;  ///< For kNotLeader: the address of the leader, if known.
   MSGPACK_DEFINE(code, text, body, leader)
 
   ResultCode Code() const { return static_cast<ResultCode>(this->code); }
--- a/src/statemachine/internal/statemachine.cpp
+++ b/src/statemachine/internal/statemachine.cpp
@@ -8,7 +8,7 @@
 namespace papayarack::statemachine {
 namespace {
 
-constexpr std::int64_t kUnusedFileKeptMs = 86'400'000;
+constexpr std::int64_t kUnusedFileRetentionMs = 86'400'000;
 
 template <typename Body>
 CommandReply ReplyWith(int code, const Body& body) {
@@ -18,7 +18,7 @@
   return reply;
 }
 
-/// All state of a snapshot; each part in its aggregate's own form.
+/// The state in a snapshot; each part in the format of its own class.
 struct SavedState {
   std::string documents;
   std::map<std::string, jobs::StoredFile> files;
@@ -37,11 +37,11 @@
 CommandReply StateMachine::Apply(std::string_view bytes) {
   try {
     const auto command = DecodeVariant<Command>(bytes);
-    return std::visit([this](const auto& body) { return this->Do(body); },
+    return std::visit([this](const auto& body) { return this->Execute(body); },
                       command);
   } catch (const ResultError& error) {
-    // A disk that fails here but not elsewhere would make this member differ:
-    // it must stop.
+    // A disk failure on this member alone would make its state diverge: it must
+    // stop.
     if (IsDiskFault(error.result().code)) {
       throw;
     }
@@ -52,8 +52,8 @@
   }
 }
 
-CommandReply StateMachine::Do(const SubmitDocument& command) {
-  const documents::SubmitOutcome outcome = this->document_book.Submit(
+CommandReply StateMachine::Execute(const SubmitDocument& command) {
+  const documents::SubmitOutcome outcome = this->document_store.Submit(
       command.service, command.version, command.text);
   CommandReply reply = ReplyWith(outcome.code, outcome);
   if (outcome.code != 0) {
@@ -66,87 +66,87 @@
   return reply;
 }
 
-CommandReply StateMachine::Do(const AppendFile& command) {
-  this->file_book.Append(command.file, command.owner, command.at, command.bytes,
-                         command.last, command.now_ms);
+CommandReply StateMachine::Execute(const AppendFile& command) {
+  this->file_store.Append(command.file, command.owner, command.at,
+                          command.bytes, command.last, command.now_ms);
   return {};
 }
 
-CommandReply StateMachine::Do(const CreateJob& command) {
-  return ReplyWith(0, this->job_book.Create(command.request));
+CommandReply StateMachine::Execute(const CreateJob& command) {
+  return ReplyWith(0, this->job_store.Create(command.request));
 }
 
-CommandReply StateMachine::Do(const CancelJob& command) {
-  const jobs::JobSummary* job = this->job_book.Find(command.job);
+CommandReply StateMachine::Execute(const CancelJob& command) {
+  const jobs::JobSummary* job = this->job_store.Find(command.job);
   if (job == nullptr ||
       (!command.owner.empty() && job->request.owner != command.owner)) {
     throw ResultError(ResultCode::kNotFound, "no such job: " + command.job);
   }
-  return ReplyWith(0, this->job_book.Cancel(command.job, command.now_ms));
+  return ReplyWith(0, this->job_store.Cancel(command.job, command.now_ms));
 }
 
-CommandReply StateMachine::Do(const PullItems& command) {
+CommandReply StateMachine::Execute(const PullItems& command) {
   LeaseReply reply;
   for (const jobs::ItemOutcome& outcome : command.outcomes) {
     reply.outcome_codes.push_back(static_cast<int>(
-        this->job_book.Complete(outcome, command.lease.now_ms)));
+        this->job_store.Complete(outcome, command.lease.now_ms)));
   }
   for (const jobs::ItemKey& key : command.lease.holding) {
-    const jobs::JobSummary* job = this->job_book.Find(key.job);
+    const jobs::JobSummary* job = this->job_store.Find(key.job);
     if (job == nullptr || job->State() != jobs::JobState::kRunning) {
       reply.stop.push_back(key);
     }
   }
-  reply.items = this->job_book.Lease(command.lease);
+  reply.items = this->job_store.Lease(command.lease);
   return ReplyWith(0, reply);
 }
 
-CommandReply StateMachine::Do(const AdvanceTime& command) {
-  this->job_book.ExpireLeases(command.now_ms);
-  this->job_book.ExpireJobs(command.now_ms);
-  this->claim_book.Expire(command.now_ms);
-  this->file_book.Expire(
-      command.now_ms - kUnusedFileKeptMs, [this](const std::string& id) {
-        const auto list = this->job_book.List("");
+CommandReply StateMachine::Execute(const AdvanceTime& command) {
+  this->job_store.ExpireLeases(command.now_ms);
+  this->job_store.ExpireJobs(command.now_ms);
+  this->claim_store.Expire(command.now_ms);
+  this->file_store.Expire(
+      command.now_ms - kUnusedFileRetentionMs, [this](const std::string& id) {
+        const auto list = this->job_store.List("");
         return std::ranges::any_of(list, [&id](const jobs::JobSummary* job) {
           return job->request.file == id;
         });
       });
   const std::uint64_t none = this->blobs.length();
-  this->blobs.DropBefore(std::min(this->file_book.FirstNeededOffset(none),
-                                  this->job_book.FirstNeededOffset(none)));
+  this->blobs.DropBefore(std::min(this->file_store.FirstNeededOffset(none),
+                                  this->job_store.FirstNeededOffset(none)));
   return {};
 }
 
-CommandReply StateMachine::Do(const MakeClaim& command) {
-  const claims::ClaimOutcome outcome = this->claim_book.Claim(command.request);
+CommandReply StateMachine::Execute(const MakeClaim& command) {
+  const claims::ClaimOutcome outcome = this->claim_store.Claim(command.request);
   return ReplyWith(0, outcome);
 }
 
-CommandReply StateMachine::Do(const EndClaim& command) {
-  this->claim_book.End(command.end);
+CommandReply StateMachine::Execute(const EndClaim& command) {
+  this->claim_store.End(command.end);
   return {};
 }
 
 bool StateMachine::NeedsAdvanceTime(std::int64_t now_ms) const {
-  return this->job_book.HasExpired(now_ms);
+  return this->job_store.HasExpired(now_ms);
 }
 
 std::string StateMachine::Save() const {
   SavedState saved;
-  saved.documents = this->document_book.Save();
-  saved.files = this->file_book.all();
-  saved.jobs = this->job_book.Save();
-  saved.claims = this->claim_book.Save();
+  saved.documents = this->document_store.Save();
+  saved.files = this->file_store.all();
+  saved.jobs = this->job_store.Save();
+  saved.claims = this->claim_store.Save();
   return EncodeMessage(saved);
 }
 
 void StateMachine::Load(std::string_view bytes) {
   auto saved = DecodeMessage<SavedState>(bytes);
-  this->document_book.Load(saved.documents);
-  this->file_book.Load(std::move(saved.files));
-  this->job_book.Load(saved.jobs);
-  this->claim_book.Load(saved.claims);
+  this->document_store.Load(saved.documents);
+  this->file_store.Load(std::move(saved.files));
+  this->job_store.Load(saved.jobs);
+  this->claim_store.Load(saved.claims);
 }
 
 }  // namespace papayarack::statemachine
--- a/src/statemachine/statemachine.h
+++ b/src/statemachine/statemachine.h
@@ -13,18 +13,19 @@
 
 namespace papayarack::statemachine {
 
-/// Everything that the replicated log decides, joined. The same log gives the
-/// same state and the same blob bytes on every member. Thread safety: none, one
-/// owner.
+/// The replicated state machine. The same log gives the same state and the same
+/// blob bytes on every member. Thread safety: none, one owner.
 class StateMachine {
  public:
   explicit StateMachine(storage::BlobStore& blobs)
-      : blobs(blobs), file_book(blobs), job_book(blobs, file_book) {}
+      : blobs(blobs), file_store(blobs), job_store(blobs, file_store) {}
 
-  /// Applies one committed command. Malformed or refused commands give a reply
-  /// with a code and change nothing. Throws only when the disk fails.
+  /// Applies one committed command. Malformed or refused commands change
+  /// nothing and give a reply with an error code. Throws only if the disk
+  /// fails.
   CommandReply Apply(std::string_view command);
-  /// True when a AdvanceTime at `now_ms` would change something soon needed.
+  /// True if leases have expired at `now_ms`, so that an AdvanceTime command is
+  /// needed.
   bool NeedsAdvanceTime(std::int64_t now_ms) const;
 
   std::string Save() const;
@@ -32,27 +33,27 @@
   void Load(std::string_view bytes);
 
   const documents::DocumentStore& documents() const {
-    return this->document_book;
+    return this->document_store;
   }
-  const jobs::JobStore& jobs() const { return this->job_book; }
-  const jobs::FileStore& files() const { return this->file_book; }
-  const claims::ClaimBook& claims() const { return this->claim_book; }
+  const jobs::JobStore& jobs() const { return this->job_store; }
+  const jobs::FileStore& files() const { return this->file_store; }
+  const claims::ClaimBook& claims() const { return this->claim_store; }
 
  private:
-  CommandReply Do(const SubmitDocument& command);
-  CommandReply Do(const AppendFile& command);
-  CommandReply Do(const CreateJob& command);
-  CommandReply Do(const CancelJob& command);
-  CommandReply Do(const PullItems& command);
-  CommandReply Do(const AdvanceTime& command);
-  CommandReply Do(const MakeClaim& command);
-  CommandReply Do(const EndClaim& command);
+  CommandReply Execute(const SubmitDocument& command);
+  CommandReply Execute(const AppendFile& command);
+  CommandReply Execute(const CreateJob& command);
+  CommandReply Execute(const CancelJob& command);
+  CommandReply Execute(const PullItems& command);
+  CommandReply Execute(const AdvanceTime& command);
+  CommandReply Execute(const MakeClaim& command);
+  CommandReply Execute(const EndClaim& command);
 
   storage::BlobStore& blobs;
-  documents::DocumentStore document_book;
-  jobs::FileStore file_book;
-  jobs::JobStore job_book;
-  claims::ClaimBook claim_book;
+  documents::DocumentStore document_store;
+  jobs::FileStore file_store;
+  jobs::JobStore job_store;
+  claims::ClaimBook claim_store;
 };
 
 }  // namespace papayarack::statemachine
--- a/src/statemachine/tests/statemachine_tests.cpp
+++ b/src/statemachine/tests/statemachine_tests.cpp
@@ -31,13 +31,13 @@
   request.file = "f";
   REQUIRE(Apply(machine, CreateJob{request}).code == 0);
 
-  SECTION("refuses malformed commands and changes nothing") {
+  SECTION("refuses malformed commands without any change") {
     CHECK(machine.Apply("\xc1junk").code ==
           static_cast<int>(ResultCode::kProtocol));
     CHECK(machine.Apply("").code == static_cast<int>(ResultCode::kProtocol));
     CHECK(machine.documents().revision() == 1);
   }
-  SECTION("tells a gate which of its items to stop after a cancel") {
+  SECTION("lists the items that a gate must stop after a cancel") {
     jobs::LeaseRequest lease{"gate", 1, "counter", 2, 0, 1000, {}};
     auto granted =
         DecodeMessage<LeaseReply>(Apply(machine, PullItems{{}, lease}).body);
@@ -51,7 +51,7 @@
     CHECK(granted.stop.size() == 2);
     CHECK(granted.items.empty());
   }
-  SECTION("goes on from a snapshot as if nothing had happened") {
+  SECTION("restores an identical state from a snapshot") {
     StateMachine copy(blobs);
     copy.Load(machine.Save());
     CHECK(copy.documents().revision() == 1);
