--- a/src/jobs/internal/jobbook.cpp
+++ b/src/jobs/internal/jobstore.cpp
@@ -1,4 +1,4 @@
-#include "jobs/jobbook.h"
+#include "jobs/jobstore.h"
 
 #include <algorithm>
 
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-const JobSummary& JobBook::Create(const JobRequest& request) {
+const JobSummary& JobStore::Create(const JobRequest& request) {
   const auto known = this->keys.find({request.owner, request.key});
   if (known != this->keys.end()) {
     const JobSummary& first = this->jobs.at(known->second).summary;
@@ -47,7 +47,7 @@
       .first->second.summary;
 }
 
-void JobBook::LoadItems(Job& job, const StoredFile& file) {
+void JobStore::LoadItems(Job& job, const StoredFile& file) {
   ItemTable& items = job.items;
   for (const Extent& extent : file.extents) {
     const std::string bytes = this->blobs.ReadAt(extent.offset, extent.length);
@@ -68,7 +68,7 @@
   job.summary.items = static_cast<std::uint32_t>(count);
 }
 
-ResultCode JobBook::Complete(const ItemOutcome& outcome, std::int64_t now_ms) {
+ResultCode JobStore::Complete(const ItemOutcome& outcome, std::int64_t now_ms) {
   const auto found = this->jobs.find(outcome.key.job);
   if (found == this->jobs.end() ||
       outcome.key.item >= found->second.summary.items) {
@@ -88,8 +88,8 @@
   switch (outcome.End()) {
     case AttemptEnd::kDone:
     case AttemptEnd::kImpossible: {
-      // A late completion of an attempt whose lease ran out is as good as any:
-      // the first stands.
+      // A late completion of an attempt whose lease expired is valid too: the
+      // first completion wins.
       this->EndLease(outcome.key);
       const bool done = outcome.End() == AttemptEnd::kDone;
       this->FinishItem(job, outcome.key.item,
@@ -100,21 +100,21 @@
     case AttemptEnd::kReturned:
       if (holds) {
         this->EndLease(outcome.key);
-        this->TakeBackAttempt(job, outcome.key.item);
-        this->RunAgain(job, outcome.key.item);
+        this->UndoAttempt(job, outcome.key.item);
+        this->Requeue(job, outcome.key.item);
       }
       return ResultCode::kOk;
     case AttemptEnd::kFailed:
       if (holds) {
-        this->AttemptLost(outcome.key, outcome.reason, now_ms);
+        this->EndFailedAttempt(outcome.key, outcome.reason, now_ms);
       }
       return ResultCode::kOk;
   }
   return ResultCode::kBadInput;
 }
 
-void JobBook::FinishItem(Job& job, std::uint32_t item, ItemState state,
-                         std::string_view line, std::int64_t now_ms) {
+void JobStore::FinishItem(Job& job, std::uint32_t item, ItemState state,
+                          std::string_view line, std::int64_t now_ms) {
   const storage::BlobRef ref = this->blobs.Append(std::string(line) + "\n");
   job.items.result_offset[item] = ref.offset;
   job.items.result_length[item] = ref.length;
@@ -124,11 +124,11 @@
     job.summary.state = static_cast<std::uint8_t>(JobState::kCompleted);
     job.summary.finished_ms = now_ms;
     this->open_jobs[job.summary.request.service].erase(job.summary.request.id);
-    job.again.clear();
+    job.retries.clear();
   }
 }
 
-const JobSummary& JobBook::Cancel(const std::string& id, std::int64_t now_ms) {
+const JobSummary& JobStore::Cancel(const std::string& id, std::int64_t now_ms) {
   const auto found = this->jobs.find(id);
   if (found == this->jobs.end()) {
     throw ResultError(ResultCode::kNotFound, "no such job: " + id);
@@ -139,7 +139,7 @@
   }
   job.summary.state = static_cast<std::uint8_t>(JobState::kCancelled);
   job.summary.finished_ms = now_ms;
-  job.again.clear();
+  job.retries.clear();
   this->open_jobs[job.summary.request.service].erase(id);
   for (std::uint32_t item = 0; item < job.summary.items; ++item) {
     const auto state = static_cast<ItemState>(job.items.state[item]);
@@ -153,12 +153,12 @@
   return job.summary;
 }
 
-const JobSummary* JobBook::Find(std::string_view job) const {
+const JobSummary* JobStore::Find(std::string_view job) const {
   const auto found = this->jobs.find(job);
   return found != this->jobs.end() ? &found->second.summary : nullptr;
 }
 
-std::vector<const JobSummary*> JobBook::List(std::string_view owner) const {
+std::vector<const JobSummary*> JobStore::List(std::string_view owner) const {
   std::vector<const JobSummary*> list;
   for (const auto& [id, job] : this->jobs) {
     if (owner.empty() || job.summary.request.owner == owner) {
@@ -168,9 +168,10 @@
   return list;
 }
 
-std::string JobBook::ReadResults(std::string_view id, bool errors,
-                                 std::uint32_t from_item, std::size_t max_bytes,
-                                 std::uint32_t& next_item) const {
+std::string JobStore::ReadResults(std::string_view id, bool errors,
+                                  std::uint32_t from_item,
+                                  std::size_t max_bytes,
+                                  std::uint32_t& next_item) const {
   const auto found = this->jobs.find(id);
   if (found == this->jobs.end()) {
     throw ResultError(ResultCode::kNotFound, "no such job: " + std::string(id));
@@ -190,7 +191,7 @@
   return lines;
 }
 
-std::string JobBook::CustomIdOf(const Job& job, std::uint32_t item) const {
+std::string JobStore::CustomIdOf(const Job& job, std::uint32_t item) const {
   const std::string line = this->blobs.ReadAt(job.items.input_offset[item],
                                               job.items.input_length[item]);
   try {
@@ -200,25 +201,25 @@
   }
 }
 
-bool JobBook::HasWork(std::string_view service) const {
+bool JobStore::HasOpenJobs(std::string_view service) const {
   const auto found = this->open_jobs.find(service);
   return found != this->open_jobs.end() && !found->second.empty();
 }
 
-void JobBook::ExpireJobs(std::int64_t now_ms) {
+void JobStore::ExpireJobs(std::int64_t now_ms) {
   std::erase_if(this->jobs, [&](const auto& entry) {
     const JobSummary& summary = entry.second.summary;
-    const bool over = summary.State() != JobState::kRunning &&
-                      now_ms - summary.finished_ms >
-                          summary.request.keep_days * kMillisPerDay;
-    if (over) {
+    const bool expired = summary.State() != JobState::kRunning &&
+                         now_ms - summary.finished_ms >
+                             summary.request.keep_days * kMillisPerDay;
+    if (expired) {
       this->keys.erase({summary.request.owner, summary.request.key});
     }
-    return over;
+    return expired;
   });
 }
 
-std::uint64_t JobBook::FirstNeeded(std::uint64_t none) const {
+std::uint64_t JobStore::FirstNeededOffset(std::uint64_t none) const {
   std::uint64_t first = none;
   for (const auto& [id, job] : this->jobs) {
     if (!job.items.input_offset.empty()) {
