--- a/src/claims/claimbook.h
+++ b/src/claims/claimtable.h
@@ -1,5 +1,5 @@
-#ifndef PAPAYARACK_CLAIMS_CLAIMBOOK_H_
-#define PAPAYARACK_CLAIMS_CLAIMBOOK_H_
+#ifndef PAPAYARACK_CLAIMS_CLAIMTABLE_H_
+#define PAPAYARACK_CLAIMS_CLAIMTABLE_H_
 
 #include <cstdint>
 #include <map>
@@ -62,7 +62,7 @@
 /// Idempotency keys of requests that may not be repeated: at most one request
 /// for each key is ever let through, whichever entry it comes by.
 /// Deterministic. Thread safety: none.
-class ClaimBook {
+class ClaimTable {
  public:
   ClaimOutcome Claim(const ClaimRequest& request);
   /// Late or foreign ends change nothing.
@@ -92,4 +92,4 @@
 
 }  // namespace papayarack::claims
 
-#endif  // PAPAYARACK_CLAIMS_CLAIMBOOK_H_
+#endif  // PAPAYARACK_CLAIMS_CLAIMTABLE_H_
--- a/src/claims/internal/claimbook.cpp
+++ b/src/claims/internal/claimtable.cpp
@@ -1,8 +1,8 @@
-#include "claims/claimbook.h"
+#include "claims/claimtable.h"
 
 namespace papayarack::claims {
 
-ClaimOutcome ClaimBook::Claim(const ClaimRequest& request) {
+ClaimOutcome ClaimTable::Claim(const ClaimRequest& request) {
   ClaimOutcome outcome;
   const auto [place, fresh] =
       this->claims.try_emplace({request.owner, request.key});
@@ -45,7 +45,7 @@
   return outcome;
 }
 
-void ClaimBook::End(const ClaimEnd& end) {
+void ClaimTable::End(const ClaimEnd& end) {
   const auto found = this->claims.find({end.owner, end.key});
   if (found == this->claims.end() || found->second.claim_id != end.claim_id ||
       found->second.state != static_cast<std::uint8_t>(ClaimState::kRunning)) {
@@ -61,15 +61,15 @@
   found->second.answer = end.answer;
 }
 
-void ClaimBook::Expire(std::int64_t now_ms) {
+void ClaimTable::Expire(std::int64_t now_ms) {
   std::erase_if(this->claims, [now_ms](const auto& entry) {
     return entry.second.expires_ms <= now_ms;
   });
 }
 
-std::string ClaimBook::Save() const { return EncodeMessage(this->claims); }
+std::string ClaimTable::Save() const { return EncodeMessage(this->claims); }
 
-void ClaimBook::Load(std::string_view bytes) {
+void ClaimTable::Load(std::string_view bytes) {
   this->claims = DecodeMessage<std::map<Key, Entry>>(bytes);
 }
 
--- a/src/claims/tests/claims_tests.cpp
+++ b/src/claims/tests/claims_tests.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "claims/claimbook.h"
+#include "claims/claimtable.h"
 
 namespace papayarack::claims {
 namespace {
@@ -14,7 +14,7 @@
 }  // namespace
 
 TEST_CASE("a teller posts a cheque once") {
-  ClaimBook book;
+  ClaimTable book;
   REQUIRE(book.Claim(Request("first")).code == 0);
 
   SECTION("the same try may ask again when control's answer was lost") {
@@ -57,7 +57,7 @@
     CHECK(book.Claim(Request("third")).code == Code(ResultCode::kStillRunning));
   }
   SECTION("it survives a snapshot and is forgotten after its time") {
-    ClaimBook copy;
+    ClaimTable copy;
     copy.Load(book.Save());
     CHECK(copy.Claim(Request("second")).code ==
           Code(ResultCode::kStillRunning));
--- a/src/nodes/batchfront.h
+++ b/src/nodes/batchapi.h
@@ -1,5 +1,5 @@
-#ifndef PAPAYARACK_NODES_BATCHFRONT_H_
-#define PAPAYARACK_NODES_BATCHFRONT_H_
+#ifndef PAPAYARACK_NODES_BATCHAPI_H_
+#define PAPAYARACK_NODES_BATCHAPI_H_
 
 #include <chrono>
 #include <cstdint>
@@ -16,10 +16,10 @@
 
 /// Answers callers of batches with the job group's word. Thread safety: none,
 /// the loop's thread.
-class BatchFront {
+class BatchApi {
  public:
   /// Precondition: both outlive it.
-  BatchFront(NodeRuntime& runtime, http::HttpServer& front);
+  BatchApi(NodeRuntime& runtime, http::HttpServer& front);
 
   /// A batch for `route`, accepted once the group has it.
   void Submit(http::ExchangeId exchange, const http::HttpRequest& request,
@@ -44,4 +44,4 @@
 
 }  // namespace papayarack::nodes
 
-#endif  // PAPAYARACK_NODES_BATCHFRONT_H_
+#endif  // PAPAYARACK_NODES_BATCHAPI_H_
--- a/src/nodes/batchrunner.h
+++ b/src/nodes/batchrunner.h
@@ -38,7 +38,7 @@
   /// Most bytes of one report, unless a single outcome has more. A gate has one
   /// report on its way, so this times the gates of a fleet is what its leader
   /// may have to take at once: 4.6 MB for 144.
-  static constexpr std::size_t kMostReportBytes = 32U << 10U;
+  static constexpr std::size_t kMaxReportBytes = 32U << 10U;
   /// An answer that the leader gave at once is here after this long: ten round
   /// trips between regions of one continent (20 ms each), or 200 KB at the pace
   /// of TimeToCarry. Doubled by each pull that was given up in vain, so that an
@@ -46,18 +46,18 @@
   static constexpr std::chrono::milliseconds kAnswerTime{200};
   /// The time stops growing here: the leader holds a pull for 1 s at most, and
   /// this leaves 0.6 s for its answer, as one attempt does.
-  static constexpr std::chrono::milliseconds kLongestAnswerTime{1600};
+  static constexpr std::chrono::milliseconds kMaxAnswerTime{1600};
   /// Most bytes of texts that one pull hands back, unless a single one has
   /// more: a quarter of a second on a link at the pace of TimeToCarry, within
   /// one attempt.
-  static constexpr std::size_t kMostReturnBytes = 256U << 10U;
+  static constexpr std::size_t kMaxReturnBytes = 256U << 10U;
   /// Wait after the first report that failed; doubled by each further one. It
   /// keeps refusals that come at once from being met with copies at the pace of
   /// the link.
-  static constexpr std::chrono::milliseconds kReportPause{100};
+  static constexpr std::chrono::milliseconds kMinReportBackoff{100};
   /// The pause stops growing here: longer than an election (0.6 to 1.2 s) it
   /// would only delay results.
-  static constexpr std::chrono::milliseconds kLongestReportPause{1600};
+  static constexpr std::chrono::milliseconds kMaxReportBackoff{1600};
 
   BatchRunner(RunnerTarget target, const Dialect& dialect,
               http::HttpClient& engine, coordination::GroupClient& jobs,
@@ -72,8 +72,8 @@
   /// The id of the engine; empty when it is not known.
   void SetEngine(std::string id) { this->engine_id = std::move(id); }
   /// The engine is another start of it. All runs are taken up again at once
-  /// instead of when they have been silent for kSilence; one that was already
-  /// sent to the new start loses the reading of its prompt.
+  /// instead of when they have been silent for kMaxSilence; one that was
+  /// already sent to the new start loses the reading of its prompt.
   void EngineRestarted();
   /// Slots were taken or given back: preempts and starts runs accordingly.
   void Balance();
@@ -84,9 +84,9 @@
   void Stop();
   /// Called every few tens of milliseconds.
   void Tick();
-  std::size_t Held() const { return this->runs.size(); }
+  std::size_t HeldCount() const { return this->runs.size(); }
   /// Whether the leader has taken back all that was handed back.
-  bool Returned() const {
+  bool AllReturned() const {
     return this->to_return.empty() && this->returning.empty();
   }
 
@@ -119,10 +119,10 @@
   void OnPulled(const Result& result, const std::string& body);
   void Take(batches::LeasedItem item);
   /// What the next pull hands back; it stays in `returning` until answered.
-  void ChooseReturns();
+  void SelectReturns();
   /// The pull under way may not have arrived: the next hands back again.
-  void KeepReturns();
-  std::vector<batches::ItemRef> Holding() const;
+  void RequeueReturns();
+  std::vector<batches::ItemRef> HeldItems() const;
   std::uint32_t Room() const;
   /// What a run still needs, by the runs that have ended here.
   Duration Remaining(const Run& run) const;
@@ -131,24 +131,24 @@
   /// Slack, with late runs behind all others.
   Duration Urgency(const Run& run, Time now) const;
   bool Late(const Run& run) const;
-  void LearnFrom(const Run& run);
+  void UpdateEstimates(const Run& run);
   void StartNext();
   void Start(RunId id, Run& run);
   void PreemptOne();
   void Pause(Run& run);
   void OnHead(RunId id, const http::HttpHead& head);
   void OnBody(RunId id, std::string_view bytes);
-  bool TakeEvent(Run& run, const http::StreamEvent& event);
+  bool AppendEvent(Run& run, const http::StreamEvent& event);
   void OnEnd(RunId id, http::HttpEnd end);
   void Finish(RunId id, Run& run, batches::ItemEnd end);
   void Report();
   void OnReported(const Result& result, std::span<const RunId> reported);
-  void ReturnOldPauses(Time now);
-  /// Forgets the runs for which `wanted` says yes; it may change them.
-  template <typename Wanted>
-  void EraseRuns(const Wanted& wanted) {
+  void ReturnLongPaused(Time now);
+  /// Forgets the runs for which `predicate` says yes; it may change them.
+  template <typename Predicate>
+  void EraseRuns(const Predicate& predicate) {
     for (auto run = this->runs.begin(); run != this->runs.end();) {
-      run = wanted(run->second) ? this->runs.erase(run) : std::next(run);
+      run = predicate(run->second) ? this->runs.erase(run) : std::next(run);
     }
   }
   void HandBack(Run& run);
@@ -173,7 +173,7 @@
   std::vector<batches::ReturnedItem> returning;  ///< With that under way.
   bool reporting = false;
   Time next_report{};
-  std::chrono::milliseconds report_pause = kReportPause;
+  std::chrono::milliseconds report_backoff = kMinReportBackoff;
   bool stopping = false;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
--- a/src/nodes/crashwatch.h
+++ b/src/nodes/crashdetector.h
@@ -1,5 +1,5 @@
-#ifndef PAPAYARACK_NODES_CRASHWATCH_H_
-#define PAPAYARACK_NODES_CRASHWATCH_H_
+#ifndef PAPAYARACK_NODES_CRASHDETECTOR_H_
+#define PAPAYARACK_NODES_CRASHDETECTOR_H_
 
 #include <asio.hpp>
 #include <chrono>
@@ -18,20 +18,20 @@
 /// An entry's part in stopping requests that crash the replicas that run them:
 /// sees which broken runs were crashes, tells the leader, and says which
 /// requests are not to be run. Thread safety: none, the loop's thread.
-class CrashWatch {
+class CrashDetector {
  public:
   /// Answers within a round trip, or the replica cannot be told from one that
   /// is cut off, which is no evidence.
-  static constexpr std::chrono::milliseconds kConnectTime{150};
+  static constexpr std::chrono::milliseconds kConnectTimeout{150};
   /// By a leader's silence for longer this entry goes by its own reports: it
   /// answers at least once a second.
-  static constexpr std::chrono::milliseconds kLeaderSilent{1500};
+  static constexpr std::chrono::milliseconds kMaxLeaderSilence{1500};
 
   /// Precondition: `watch` outlives this.
-  CrashWatch(asio::io_context& context, coordination::FleetWatch& watch);
-  ~CrashWatch();
-  CrashWatch(const CrashWatch&) = delete;
-  CrashWatch& operator=(const CrashWatch&) = delete;
+  CrashDetector(asio::io_context& context, coordination::FleetWatch& watch);
+  ~CrashDetector();
+  CrashDetector(const CrashDetector&) = delete;
+  CrashDetector& operator=(const CrashDetector&) = delete;
 
   static quarantine::Fingerprint Identify(const http::HttpRequest& request);
   /// Whether the request is not to be run.
@@ -39,22 +39,23 @@
   /// The connection of a run broke before its end. Counts only if the replica's
   /// port then refuses connections: a reset, a spoiled answer or a cut say
   /// nothing of the request.
-  void Broke(const quarantine::Fingerprint& request, std::string_view id,
-             const placement::EngineStart& engine);
+  void ConnectionBroke(const quarantine::Fingerprint& request,
+                       std::string_view id,
+                       const placement::EngineStart& engine);
   /// A replica answered it to the end, whatever the answer.
   void Survived(const quarantine::Fingerprint& request);
 
  private:
   struct Probe;
-  void Refused(const Probe& probe);
+  void OnConnectionRefused(const Probe& probe);
 
   asio::io_context& context;
   coordination::FleetWatch& watch;
   quarantine::RecentSurvivals survivals;
-  quarantine::CrashLedger own;  ///< Of this entry's reports alone.
+  quarantine::CrashLedger local_ledger;  ///< Of this entry's reports alone.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
 }  // namespace papayarack::nodes
 
-#endif  // PAPAYARACK_NODES_CRASHWATCH_H_
+#endif  // PAPAYARACK_NODES_CRASHDETECTOR_H_
--- a/src/nodes/enginehost.h
+++ b/src/nodes/enginehost.h
@@ -34,27 +34,27 @@
   bool Drained() const;
 
  private:
-  struct Held {
+  struct Entry {
     std::unique_ptr<EngineOwner> owner;
     Time since{};  ///< Since when it owns the engine, or was released.
   };
-  using ByAddress = std::map<std::string, Held>;
+  using ByAddress = std::map<std::string, Entry>;
 
   std::vector<OwnedEngineState> Owned() const;
   void OnAsk(transport::StreamId stream, const std::string& body);
   void OnCancel(transport::StreamId stream);
-  EngineOwner* Find(const AskSlot& ask);
-  void TakeOver(const EngineAt& engine);
+  EngineOwner* Find(const AcquireSlot& ask);
+  void TakeOver(const EngineLocation& engine);
   void Release(ByAddress::iterator owned, const char* reason);
   /// Takes over and releases as the list of the fleet says.
-  void FollowList(Time now);
+  void ApplyHostList(Time now);
   void Tick();
 
   NodeRuntime& runtime;
   ByAddress engines;
-  std::list<Held> released;  ///< Give no slots any more; their last runs end.
+  std::list<Entry> released;  ///< Give no slots any more; their last runs end.
   std::uint64_t last_owner = 0;  ///< Number of the last one that took over.
-  bool list_holds = false;       ///< As ListNamesHosts, when last looked at.
+  bool host_list_valid = false;  ///< As HostListValid, when last looked at.
   bool leaving = false;
   asio::steady_timer timer;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/src/nodes/engineowner.h
+++ b/src/nodes/engineowner.h
@@ -7,10 +7,10 @@
 
 #include "http/httpclient.h"
 #include "nodes/batchrunner.h"
-#include "nodes/heldasks.h"
 #include "nodes/logthrottle.h"
 #include "nodes/noderuntime.h"
 #include "nodes/ownedengine.h"
+#include "nodes/pendingacquirequeue.h"
 #include "nodes/slotmessages.h"
 #include "slots/enginepulse.h"
 #include "slots/foreignruns.h"
@@ -24,7 +24,7 @@
   std::string service;  ///< Empty: whichever is listed at the address.
   /// Whether the owner runs on the engine's VM: reports are fresh there and
   /// cost nothing.
-  bool beside = false;
+  bool same_vm = false;
   std::string leaseholder;  ///< Names the owner in leases of batch items.
 };
 
@@ -42,7 +42,7 @@
   /// What is known of the fleet has changed.
   void OnFleet();
   /// An entry wants a slot; answered on `stream`.
-  void Ask(transport::StreamId stream, const AskSlot& ask);
+  void Ask(transport::StreamId stream, const AcquireSlot& ask);
   /// The requester gave the stream up, and with it the slot. False when it is
   /// not one of this owner's.
   bool Cancelled(transport::StreamId stream);
@@ -66,25 +66,25 @@
     std::uint32_t wait_ms = 0;  ///< Longest useful wait when it asked.
   };
   /// Grants, queues or refuses an ask made at `asked`.
-  void Decide(transport::StreamId stream, const AskSlot& ask, Time asked);
+  void Decide(transport::StreamId stream, const AcquireSlot& ask, Time asked);
   void Answer(transport::StreamId stream, const Ticket& ticket,
               SlotVerdict verdict);
   /// Whether the engine would be asked for work, were it known which of its
   /// slots are free.
   bool AwaitsFirstReport() const;
-  void SettleHeld(Time now);
-  void Settle(Time now);
-  void AskReport(Time now);
+  void ProcessPending(Time now);
+  void ProcessQueues(Time now);
+  void RequestReport(Time now);
   /// The pace of reports: what others run ends within a second or lasts for
   /// seconds.
-  Duration ReportPace() const;
+  Duration ReportInterval() const;
   void OnReport(const std::string& body);
   void ReportFailed();
   /// Opens or closes desk and runner by what is known of the engine.
-  void Apply();
-  void TakeListed(const coordination::EngineInstance& listed);
+  void UpdateAvailability();
+  void ApplyListing(const coordination::EngineInstance& listed);
   void LearnStart(std::uint64_t started_ms);
-  void OnOtherStart();
+  void OnEngineRestart();
 
   NodeRuntime& runtime;
   OwnedEngine owned;
@@ -92,7 +92,7 @@
   http::HttpClient client;  ///< Of the engine.
   BatchRunner runner;
   std::map<transport::StreamId, Ticket> tickets;
-  HeldAsks held;
+  PendingAcquireQueue pending;
   std::string id;                ///< Empty while it takes no new work.
   std::string last_id;           ///< The last one that was not empty.
   std::uint64_t started_ms = 0;  ///< As in EngineInstance.
--- a/src/nodes/entrynode.h
+++ b/src/nodes/entrynode.h
@@ -8,11 +8,11 @@
 #include "coordination/coordinator.h"
 #include "http/httpclient.h"
 #include "http/httpserver.h"
-#include "nodes/batchfront.h"
+#include "nodes/batchapi.h"
 #include "nodes/enginehost.h"
 #include "nodes/noderuntime.h"
 #include "nodes/onlinerelay.h"
-#include "nodes/operatorfront.h"
+#include "nodes/operatorapi.h"
 #include "nodes/startupqueue.h"
 
 namespace papayarack::nodes {
@@ -45,21 +45,21 @@
   bool Ready() const;
   void OnFleet(const coordination::FleetChange& change);
   /// Which engines there are, and who owns them as of now.
-  void ShowFleetToRelay();
+  void UpdateRelay();
   /// Whether a configuration and the platform's list are known.
   bool KnowsFleet() const;
   void OnRequest(ExchangeId exchange, http::HttpRequest request);
-  void CheckEarly();
+  void ScheduleEarlyCheck();
   void Serve(ExchangeId exchange, http::HttpRequest request, Time arrived);
   void Refuse(ExchangeId exchange, const http::HttpRequest& request,
               const char* reason, const char* retry_after);
-  void ReadForLeader(
+  void ReadListForLeader(
       std::function<
           void(std::optional<std::vector<coordination::EngineInstance>>)>
           done);
   void PollListWhenCutOff();
-  void ReadByItself();
-  ListLoad LoadOnList() const;
+  void ReadListDirectly();
+  ListLoad EstimateListLoad() const;
 
   NodeRuntime& runtime;
   http::HttpClient list_client;
@@ -67,17 +67,17 @@
   std::unique_ptr<http::HttpServer> owned_front;
   http::HttpServer* front = nullptr;
   std::unique_ptr<http::HttpServer> ready;
-  std::unique_ptr<OperatorFront> operators;
-  std::unique_ptr<BatchFront> batches;
+  std::unique_ptr<OperatorApi> operators;
+  std::unique_ptr<BatchApi> batches;
   std::unique_ptr<OnlineRelay> relay;
-  StartupQueue early;
-  asio::steady_timer early_timer;
-  OwnListPace own_pace;
+  StartupQueue startup_queue;
+  asio::steady_timer startup_timer;
+  ListPollSchedule list_schedule;
   bool polling = false;
   Time leader_read{};  ///< End of the last reading for the leader.
   asio::steady_timer leader_timer;
   EngineHost host;
-  bool hosts_named = false;  ///< As the relay was last told.
+  bool host_list_valid = false;  ///< As the relay was last told.
   bool leaving = false;
   bool refusing = false;
   asio::steady_timer timer;
--- a/src/nodes/fleetengines.h
+++ b/src/nodes/fleetengines.h
@@ -16,7 +16,7 @@
 namespace papayarack::nodes {
 
 /// An engine of the platform's list, by where it runs.
-struct EngineAt {
+struct EngineLocation {
   std::string address;
   std::string service;
 };
@@ -26,17 +26,17 @@
 /// but those that a leader tells so; afterwards a process that is cut off from
 /// the others stops owning engines by itself. Longer than an election and the
 /// reports that follow it take, so that a change of leader stops nobody.
-inline constexpr std::chrono::milliseconds kHostsHold{6000};
+inline constexpr std::chrono::milliseconds kHostListValidity{6000};
 
 /// Whether engines without a process beside them have hosts at `now`: a leader
-/// that knew of the processes named them within kHostsHold. Thread safety:
-/// any thread.
-bool ListNamesHosts(const coordination::FleetKnowledge& fleet, Time now);
+/// that knew of the processes named them within kHostListValidity. Thread
+/// safety: any thread.
+bool HostListValid(const coordination::FleetKnowledge& fleet, Time now);
 
 /// The engines without a process beside them that the one at `host` owns, with
 /// those that drain. Thread safety: any thread.
-std::vector<EngineAt> EnginesOwnedBy(const coordination::FleetKnowledge& fleet,
-                                     std::string_view host, Time now);
+std::vector<EngineLocation> EnginesOwnedBy(
+    const coordination::FleetKnowledge& fleet, std::string_view host, Time now);
 
 /// The engines that requests may go to, for each service of the configuration,
 /// with the process that owns its slots: the one beside it, or a host at `now`.
--- a/src/nodes/internal/batchfront.cpp
+++ b/src/nodes/internal/batchapi.cpp
@@ -1,4 +1,4 @@
-#include "nodes/batchfront.h"
+#include "nodes/batchapi.h"
 
 #include <algorithm>
 #include <utility>
@@ -12,14 +12,14 @@
 
 /// Callers of batches wait 1.5 s longer than they ask for.
 constexpr std::chrono::milliseconds kBatchTime{1300};
-constexpr std::chrono::milliseconds kBatchTry{600};
+constexpr std::chrono::milliseconds kBatchAttemptTime{600};
 
 }  // namespace
 
-BatchFront::BatchFront(NodeRuntime& runtime, http::HttpServer& front)
+BatchApi::BatchApi(NodeRuntime& runtime, http::HttpServer& front)
     : runtime(runtime), front(front) {}
 
-bool BatchFront::CallerGone(http::ExchangeId exchange) {
+bool BatchApi::CallerGone(http::ExchangeId exchange) {
   const auto found = this->job_calls.find(exchange);
   if (found == this->job_calls.end()) {
     return false;
@@ -29,7 +29,7 @@
   return true;
 }
 
-void BatchFront::CallJobs(
+void BatchApi::CallJobs(
     http::ExchangeId exchange, const std::string& path, std::string body,
     std::chrono::milliseconds time,
     std::function<http::HttpResponse(const Result&, std::string)> answer) {
@@ -37,7 +37,7 @@
   const auto ended = std::make_shared<bool>(false);
   const std::uint64_t call = this->runtime.jobs->Call(
       path, std::move(body), time,
-      std::min(time, kBatchTry + time - kBatchTime),
+      std::min(time, kBatchAttemptTime + time - kBatchTime),
       [this, exchange, ended, path, answer = std::move(answer)](
           const Result& result, std::string reply) {
         *ended = true;
@@ -57,15 +57,15 @@
   }
 }
 
-void BatchFront::Submit(http::ExchangeId exchange,
-                        const http::HttpRequest& request,
-                        const routes::Route& route) {
+void BatchApi::Submit(http::ExchangeId exchange,
+                      const http::HttpRequest& request,
+                      const routes::Route& route) {
   batches::SubmitBatch batch;
   try {
     batch = this->runtime.dialect.read_batch(request);
   } catch (const ResultError& error) {
     Log(LogLevel::kInfo, "batch_unreadable", {{"text", error.what()}});
-    this->front.Respond(exchange, Plain(kBadRequest));
+    this->front.Respond(exchange, EmptyResponse(kBadRequest));
     return;
   }
   batch.host = route.host;
@@ -73,11 +73,11 @@
   batch.max_waiting_tokens = route.batch.max_waiting_tokens;
   this->CallJobs(exchange, "/jobs/submit", EncodeMessage(batch), kBatchTime,
                  [](const Result& result, const std::string&) {
-                   return Plain(StatusOf(result.code, kAccepted));
+                   return EmptyResponse(HttpStatusOf(result.code, kAccepted));
                  });
 }
 
-void BatchFront::Answer(http::ExchangeId exchange, const BatchCall& call) {
+void BatchApi::Answer(http::ExchangeId exchange, const BatchCall& call) {
   std::visit(
       Overloaded{
           [](const std::monostate&) {},
@@ -88,9 +88,9 @@
                 exchange, "/jobs/read", EncodeMessage(read.query), time,
                 [this](const Result& result, const std::string& body) {
                   if (!result.Ok()) {
-                    return Plain(StatusOf(result.code, kOk));
+                    return EmptyResponse(HttpStatusOf(result.code, kOk));
                   }
-                  return Json(this->runtime.dialect.write_results(
+                  return JsonResponse(this->runtime.dialect.write_results(
                       DecodeMessage<batches::ResultPage>(body)));
                 });
           },
@@ -99,17 +99,17 @@
                            kBatchTime,
                            [](const Result& result, std::string body) {
                              http::HttpResponse response =
-                                 Plain(StatusOf(result.code, kOk));
+                                 EmptyResponse(HttpStatusOf(result.code, kOk));
                              response.body = result.Ok() ? std::move(body) : "";
                              return response;
                            });
           },
           [&](const BatchEndCall& end) {
-            this->CallJobs(exchange, "/jobs/end",
-                           EncodeMessage(batches::EndBatch{end.id}), kBatchTime,
-                           [](const Result& result, const std::string&) {
-                             return Plain(StatusOf(result.code, kOk));
-                           });
+            this->CallJobs(
+                exchange, "/jobs/end", EncodeMessage(batches::EndBatch{end.id}),
+                kBatchTime, [](const Result& result, const std::string&) {
+                  return EmptyResponse(HttpStatusOf(result.code, kOk));
+                });
           }},
       call);
 }
--- a/src/nodes/internal/batchrunner.cpp
+++ b/src/nodes/internal/batchrunner.cpp
@@ -12,30 +12,30 @@
 
 /// Pulls follow each other no more often than this: room changes at each online
 /// request, and each pull costs the leader a message.
-constexpr std::chrono::milliseconds kPullPace{40};
+constexpr std::chrono::milliseconds kPullInterval{40};
 constexpr std::chrono::milliseconds kPullTime{4000};
-constexpr std::chrono::milliseconds kPullTry{1600};
+constexpr std::chrono::milliseconds kPullAttemptTime{1600};
 /// Of a report, and of one attempt at it: a leader answers each in the end, and
 /// one that is gone is noticed by its connection (PeerClientOptions). A copy
 /// for an answer that is late would only make it later.
 constexpr std::chrono::milliseconds kReportTime{10000};
 /// A paused item goes back to the others after this long: a wave's peak reaches
 /// every engine alike, so handing back before it ends finds no room elsewhere.
-constexpr std::chrono::milliseconds kLongestPause{3500};
+constexpr std::chrono::milliseconds kMaxPause{3500};
 /// A run without a byte for this long is taken up again on a new connection:
 /// a crowded engine makes an event at least every 0.2 s.
-constexpr std::chrono::milliseconds kSilence{2500};
+constexpr std::chrono::milliseconds kMaxSilence{2500};
 /// Wait after an engine's refusal or a broken run.
-constexpr std::chrono::milliseconds kAfterFailure{150};
+constexpr std::chrono::milliseconds kRetryDelay{150};
 
 /// What an item takes, before the first one ended here.
-constexpr double kFirstEventsPerItem = 240;
-constexpr double kFirstMsPerEvent = 21;
+constexpr double kInitialEventsPerItem = 240;
+constexpr double kInitialMsPerEvent = 21;
 /// Weight of one ended run in both means.
-constexpr double kLearnWeight = 0.1;
+constexpr double kEstimateWeight = 0.1;
 /// A late item is handed back after this long a pause: another gate may have
 /// room to spare, here it would stand before items that can be in time.
-constexpr std::chrono::milliseconds kLatePause{400};
+constexpr std::chrono::milliseconds kMaxLatePause{400};
 
 constexpr int kItemImpossible = 422;
 constexpr int kItemFailed = 500;
@@ -50,12 +50,12 @@
       engine(engine),
       jobs(jobs),
       desk(desk),
-      events_per_item(kFirstEventsPerItem),
-      ms_per_event(kFirstMsPerEvent) {}
+      events_per_item(kInitialEventsPerItem),
+      ms_per_event(kInitialMsPerEvent) {}
 
 BatchRunner::~BatchRunner() { *this->alive = false; }
 
-std::vector<batches::ItemRef> BatchRunner::Holding() const {
+std::vector<batches::ItemRef> BatchRunner::HeldItems() const {
   std::vector<batches::ItemRef> holding;
   for (const auto& [id, run] : this->runs) {
     holding.push_back({run.item.batch, run.item.spec.id});
@@ -86,14 +86,15 @@
   return this->Slack(run, MonotonicNow()) < Duration(0);
 }
 
-void BatchRunner::LearnFrom(const Run& run) {
-  this->events_per_item += kLearnWeight * (static_cast<double>(run.last_event) -
-                                           this->events_per_item);
+void BatchRunner::UpdateEstimates(const Run& run) {
+  this->events_per_item +=
+      kEstimateWeight *
+      (static_cast<double>(run.last_event) - this->events_per_item);
   const auto made = static_cast<double>(run.last_event - run.first_event);
-  constexpr double kEnough = 20;
-  if (made >= kEnough) {
+  constexpr double kMinEvents = 20;
+  if (made >= kMinEvents) {
     const double ms = ToSeconds(run.last_heard - run.since) * 1000;
-    this->ms_per_event += kLearnWeight * (ms / made - this->ms_per_event);
+    this->ms_per_event += kEstimateWeight * (ms / made - this->ms_per_event);
   }
 }
 
@@ -110,11 +111,11 @@
 
 void BatchRunner::Tick() {
   const Time now = MonotonicNow();
-  this->ReturnOldPauses(now);
+  this->ReturnLongPaused(now);
   this->Report();
   std::vector<RunId> silent;
   for (const auto& [id, run] : this->runs) {
-    if (run.phase == Phase::kRunning && now - run.last_heard > kSilence) {
+    if (run.phase == Phase::kRunning && now - run.last_heard > kMaxSilence) {
       silent.push_back(id);
     }
   }
@@ -123,12 +124,12 @@
     Log(LogLevel::kWarn, "item_run_silent",
         {{"request", run.item.spec.id}, {"last_event", run.last_event}});
     this->Pause(run);
-    run.not_before = now + kAfterFailure;
+    run.not_before = now + kRetryDelay;
   }
   this->Balance();
   if (now >= this->next_pull && this->ShouldPull(now)) {
     if (this->pull_call != 0 && !this->PullIsIdle()) {
-      this->answer_time = std::min(2 * this->answer_time, kLongestAnswerTime);
+      this->answer_time = std::min(2 * this->answer_time, kMaxAnswerTime);
     }
     this->Pull();
   }
@@ -174,37 +175,37 @@
 void BatchRunner::Pull() {
   if (this->pull_call != 0) {
     this->jobs.Cancel(this->pull_call);
-    this->KeepReturns();
+    this->RequeueReturns();
   }
-  this->ChooseReturns();
+  this->SelectReturns();
   this->pulled_at = MonotonicNow();
-  this->next_pull = this->pulled_at + kPullPace;
+  this->next_pull = this->pulled_at + kPullInterval;
   this->pulled_room = this->Room();
   batches::PullItems pull;
   pull.gate = this->target.gate;
   pull.incarnation = this->target.incarnation;
   pull.service = this->target.service;
   pull.room = this->pulled_room;
-  pull.holding = this->Holding();
+  pull.holding = this->HeldItems();
   pull.returned = this->returning;
-  this->pull_call =
-      this->jobs.Call("/jobs/pull", EncodeMessage(pull), kPullTime, kPullTry,
-                      [this, alive = this->alive](const Result& result,
-                                                  const std::string& body) {
-                        if (*alive) {
-                          this->pull_call = 0;
-                          this->OnPulled(result, body);
-                        }
-                      });
-}
-
-void BatchRunner::ChooseReturns() {
+  this->pull_call = this->jobs.Call(
+      "/jobs/pull", EncodeMessage(pull), kPullTime, kPullAttemptTime,
+      [this, alive = this->alive](const Result& result,
+                                  const std::string& body) {
+        if (*alive) {
+          this->pull_call = 0;
+          this->OnPulled(result, body);
+        }
+      });
+}
+
+void BatchRunner::SelectReturns() {
   std::size_t bytes = 0;
   const auto first_left =
       std::ranges::find_if(this->to_return, [&](const auto& returned) {
         const bool first = bytes == 0;
         bytes += returned.partial.text.size() + 1;
-        return !first && bytes > kMostReturnBytes;
+        return !first && bytes > kMaxReturnBytes;
       });
   this->returning.assign(std::make_move_iterator(this->to_return.begin()),
                          std::make_move_iterator(first_left));
@@ -216,7 +217,7 @@
 /// left, though it might be refused, or given up before it arrived. A second
 /// arrival is harmless: the leader keeps the text that goes further, and leaves
 /// an item alone that another gate has by then.
-void BatchRunner::KeepReturns() {
+void BatchRunner::RequeueReturns() {
   this->to_return.insert(this->to_return.begin(),
                          std::make_move_iterator(this->returning.begin()),
                          std::make_move_iterator(this->returning.end()));
@@ -225,7 +226,7 @@
 
 void BatchRunner::OnPulled(const Result& result, const std::string& body) {
   if (!result.Ok()) {
-    this->KeepReturns();
+    this->RequeueReturns();
     return;
   }
   this->returning.clear();
@@ -344,7 +345,7 @@
   const routes::Route* route =
       this->table->Find(run.item.host, run.item.spec.path);
   if (route == nullptr || route->kind != routes::RouteKind::kBatch) {
-    run.not_before = MonotonicNow() + kAfterFailure;
+    run.not_before = MonotonicNow() + kRetryDelay;
     return;  // The leader gives it up, or the route comes back.
   }
   http::HttpCall call;
@@ -403,20 +404,20 @@
   run.splitter.Add(bytes);
   http::StreamEvent event;
   while (run.splitter.Next(event)) {
-    if (!this->TakeEvent(run, event)) {
+    if (!this->AppendEvent(run, event)) {
       Log(LogLevel::kWarn, "item_event_out_of_order",
           {{"request", run.item.spec.id},
            {"last_event", run.last_event},
            {"event", event.id.value_or(0)}});
       this->Pause(run);
-      run.not_before = MonotonicNow() + kAfterFailure;
+      run.not_before = MonotonicNow() + kRetryDelay;
       return;
     }
   }
 }
 
 /// Ids must follow each other without a gap; anything else is not this run's.
-bool BatchRunner::TakeEvent(Run& run, const http::StreamEvent& event) {
+bool BatchRunner::AppendEvent(Run& run, const http::StreamEvent& event) {
   if (!event.id.has_value()) {
     return true;
   }
@@ -456,7 +457,7 @@
          {"last_event", run.last_event}});
     run.phase = Phase::kPaused;
     run.since = MonotonicNow();
-    run.not_before = run.since + kAfterFailure;
+    run.not_before = run.since + kRetryDelay;
     run.splitter.Clear();
     this->desk.EndBatch();
   }
@@ -479,7 +480,7 @@
        {"events", run.last_event},
        {"run", id}});
   if (end == batches::ItemEnd::kComplete) {
-    this->LearnFrom(run);
+    this->UpdateEstimates(run);
     run.outcome.text = std::move(run.text);
   }
   this->desk.EndBatch();
@@ -504,7 +505,7 @@
       continue;
     }
     bytes += run.outcome.text.size();
-    if (!reported.empty() && bytes > kMostReportBytes) {
+    if (!reported.empty() && bytes > kMaxReportBytes) {
       break;
     }
     report.outcomes.push_back(run.outcome);
@@ -528,11 +529,12 @@
 void BatchRunner::OnReported(const Result& result,
                              std::span<const RunId> reported) {
   if (!result.Ok()) {
-    this->next_report = MonotonicNow() + this->report_pause;
-    this->report_pause = std::min(2 * this->report_pause, kLongestReportPause);
+    this->next_report = MonotonicNow() + this->report_backoff;
+    this->report_backoff =
+        std::min(2 * this->report_backoff, kMaxReportBackoff);
     return;  // Tick reports again.
   }
-  this->report_pause = kReportPause;
+  this->report_backoff = kMinReportBackoff;
   for (const RunId id : reported) {
     this->runs.erase(id);
   }
@@ -544,10 +546,10 @@
                              {std::move(run.text), run.last_event}});
 }
 
-void BatchRunner::ReturnOldPauses(Time now) {
+void BatchRunner::ReturnLongPaused(Time now) {
   this->EraseRuns([this, now](Run& run) {
     const Duration longest =
-        this->Late(run) ? Duration(kLatePause) : Duration(kLongestPause);
+        this->Late(run) ? Duration(kMaxLatePause) : Duration(kMaxPause);
     const bool old = run.phase == Phase::kPaused && now - run.since > longest;
     if (old) {
       this->HandBack(run);
--- a/src/nodes/internal/crashwatch.cpp
+++ b/src/nodes/internal/crashdetector.cpp
@@ -1,4 +1,4 @@
-#include "nodes/crashwatch.h"
+#include "nodes/crashdetector.h"
 
 #include <fmt/format.h>
 
@@ -12,11 +12,11 @@
 using quarantine::Fingerprint;
 
 /// A connection that is tried only to learn whether the port refuses it.
-struct CrashWatch::Probe {
+struct CrashDetector::Probe {
   Probe(asio::io_context& context, const Fingerprint& request,
         std::string_view id, placement::EngineStart engine)
       : socket(context),
-        timer(context, kConnectTime),
+        timer(context, kConnectTimeout),
         request(request),
         id(id),
         engine(std::move(engine)) {}
@@ -28,29 +28,30 @@
   placement::EngineStart engine;
 };
 
-CrashWatch::CrashWatch(asio::io_context& context,
-                       coordination::FleetWatch& watch)
+CrashDetector::CrashDetector(asio::io_context& context,
+                             coordination::FleetWatch& watch)
     : context(context), watch(watch) {}
 
-CrashWatch::~CrashWatch() { *this->alive = false; }
+CrashDetector::~CrashDetector() { *this->alive = false; }
 
-Fingerprint CrashWatch::Identify(const http::HttpRequest& request) {
+Fingerprint CrashDetector::Identify(const http::HttpRequest& request) {
   return quarantine::FingerprintOf({request.method, request.headers.Get("Host"),
                                     request.target, request.body});
 }
 
-bool CrashWatch::Quarantined(const Fingerprint& request) const {
+bool CrashDetector::Quarantined(const Fingerprint& request) const {
   if (this->watch.crashes().Quarantined(request)) {
     return true;
   }
   const bool leader_heard =
       this->watch.knowledge().heard != Time{} &&
-      MonotonicNow() - this->watch.knowledge().heard <= kLeaderSilent;
-  return !leader_heard && this->own.Quarantined(request);
+      MonotonicNow() - this->watch.knowledge().heard <= kMaxLeaderSilence;
+  return !leader_heard && this->local_ledger.Quarantined(request);
 }
 
-void CrashWatch::Broke(const Fingerprint& request, std::string_view id,
-                       const placement::EngineStart& engine) {
+void CrashDetector::ConnectionBroke(const Fingerprint& request,
+                                    std::string_view id,
+                                    const placement::EngineStart& engine) {
   if (this->survivals.Has(request)) {
     return;
   }
@@ -68,12 +69,12 @@
       [this, probe, alive = this->alive](std::error_code error) {
         probe->timer.cancel();
         if (*alive && error == asio::error::connection_refused) {
-          this->Refused(*probe);
+          this->OnConnectionRefused(*probe);
         }
       });
 }
 
-void CrashWatch::Refused(const Probe& probe) {
+void CrashDetector::OnConnectionRefused(const Probe& probe) {
   const Time now = MonotonicNow();
   const std::string replica =
       fmt::format("{}@{}@{}", probe.engine.id, probe.engine.address,
@@ -82,15 +83,16 @@
       {{"request", probe.id},
        {"fingerprint", probe.request.ToString()},
        {"replica", replica}});
-  this->own.Crashed({probe.request, replica, 0}, now);
-  this->own.Judge(now);
+  this->local_ledger.Crashed({probe.request, replica, 0}, now);
+  this->local_ledger.Judge(now);
   this->watch.ReportCrash(probe.request, replica);
 }
 
-void CrashWatch::Survived(const Fingerprint& request) {
+void CrashDetector::Survived(const Fingerprint& request) {
   this->survivals.Add(request);
-  if (this->own.Names(request) || this->watch.crashes().Quarantined(request)) {
-    this->own.Survived(request, MonotonicNow());
+  if (this->local_ledger.Names(request) ||
+      this->watch.crashes().Quarantined(request)) {
+    this->local_ledger.Survived(request, MonotonicNow());
     this->watch.ReportSurvival(request);
   }
 }
--- a/src/nodes/internal/enginehost.cpp
+++ b/src/nodes/internal/enginehost.cpp
@@ -50,27 +50,27 @@
 }
 
 void EngineHost::OnFleet() {
-  this->FollowList(MonotonicNow());
+  this->ApplyHostList(MonotonicNow());
   for (auto& [address, owned] : this->engines) {
     owned.owner->OnFleet();
   }
-  for (Held& former : this->released) {
+  for (Entry& former : this->released) {
     former.owner->OnFleet();
   }
 }
 
-void EngineHost::FollowList(Time now) {
+void EngineHost::ApplyHostList(Time now) {
   const NodeOptions& options = this->runtime.options;
   const coordination::FleetKnowledge& fleet = this->runtime.watch->knowledge();
-  this->list_holds = ListNamesHosts(fleet, now);
-  std::vector<EngineAt> wanted;
+  this->host_list_valid = HostListValid(fleet, now);
+  std::vector<EngineLocation> wanted;
   if (!options.engine_address.empty()) {
     wanted.push_back({options.engine_address, options.engine_service});
   } else if (!this->leaving) {
     wanted = EnginesOwnedBy(fleet, options.peer_listen.ToString(), now);
   }
-  std::map<std::string, const EngineAt*> by_address;
-  for (const EngineAt& engine : wanted) {
+  std::map<std::string, const EngineLocation*> by_address;
+  for (const EngineLocation& engine : wanted) {
     by_address[engine.address] = &engine;
   }
   for (auto owned = this->engines.begin(); owned != this->engines.end();) {
@@ -80,7 +80,7 @@
         found != by_address.end() &&
         found->second->service == owned->second.owner->engine().service;
     if (!stays) {
-      this->Release(owned, this->list_holds
+      this->Release(owned, this->host_list_valid
                                ? "the list of the fleet names another owner"
                                : "no leader has confirmed the list for long");
     }
@@ -95,22 +95,22 @@
                             static_cast<double>(this->engines.size()));
 }
 
-void EngineHost::TakeOver(const EngineAt& engine) {
+void EngineHost::TakeOver(const EngineLocation& engine) {
   const NodeOptions& options = this->runtime.options;
   OwnedEngine owned;
   owned.address = engine.address;
   owned.service = engine.service;
-  owned.beside = engine.address == options.engine_address;
+  owned.same_vm = engine.address == options.engine_address;
   // Leases of batch items are each engine's own, also where the same process
   // owns it again before the last of the former ones has come back.
-  owned.leaseholder = owned.beside
+  owned.leaseholder = owned.same_vm
                           ? options.name
                           : fmt::format("{}/{}@{}", options.name,
                                         ++this->last_owner, engine.address);
   Log(LogLevel::kInfo, "engine_owned",
       {{"address", engine.address},
        {"service", engine.service},
-       {"beside", owned.beside},
+       {"beside", owned.same_vm},
        {"engines", this->engines.size() + 1},
        {"list_age_ms", this->runtime.watch->ListAgeMs()}});
   auto owner = std::make_unique<EngineOwner>(this->runtime, std::move(owned));
@@ -131,7 +131,7 @@
 }
 
 /// Processes of the version before name the engine by its id only.
-EngineOwner* EngineHost::Find(const AskSlot& ask) {
+EngineOwner* EngineHost::Find(const AcquireSlot& ask) {
   const auto found = this->engines.find(ask.engine_address);
   if (found != this->engines.end()) {
     return found->second.owner.get();
@@ -147,7 +147,7 @@
 }
 
 void EngineHost::OnAsk(transport::StreamId stream, const std::string& body) {
-  const auto ask = DecodeMessage<AskSlot>(body);
+  const auto ask = DecodeMessage<AcquireSlot>(body);
   EngineOwner* owner = this->Find(ask);
   if (owner != nullptr) {
     owner->Ask(stream, ask);
@@ -169,7 +169,7 @@
       return;
     }
   }
-  for (Held& former : this->released) {
+  for (Entry& former : this->released) {
     if (former.owner->Cancelled(stream)) {
       return;
     }
@@ -185,17 +185,17 @@
     }
     const Time now = MonotonicNow();
     if (this->runtime.watch != nullptr &&
-        ListNamesHosts(this->runtime.watch->knowledge(), now) !=
-            this->list_holds) {
-      this->FollowList(now);
+        HostListValid(this->runtime.watch->knowledge(), now) !=
+            this->host_list_valid) {
+      this->ApplyHostList(now);
     }
     for (auto& [address, owned] : this->engines) {
       owned.owner->Tick();
     }
-    for (Held& former : this->released) {
+    for (Entry& former : this->released) {
       former.owner->Tick();
     }
-    this->released.remove_if([now](const Held& former) {
+    this->released.remove_if([now](const Entry& former) {
       return former.owner->HandedOver() || now - former.since > kReleaseTime;
     });
     this->Tick();
@@ -215,7 +215,7 @@
   return std::ranges::all_of(
              this->engines,
              [&](const auto& entry) { return drained(*entry.second.owner); }) &&
-         std::ranges::all_of(this->released, [&](const Held& former) {
+         std::ranges::all_of(this->released, [&](const Entry& former) {
            return drained(*former.owner);
          });
 }
--- a/src/nodes/internal/engineowner.cpp
+++ b/src/nodes/internal/engineowner.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 /// Pace of reports from the own VM.
-constexpr std::chrono::milliseconds kReportEvery{100};
+constexpr std::chrono::milliseconds kLocalReportInterval{100};
 /// The same from another VM, where each costs the engine a call.
-constexpr std::chrono::milliseconds kRemoteReportEvery{1000};
+constexpr std::chrono::milliseconds kRemoteReportInterval{1000};
 /// The same while others run something there, to learn when it ends.
-constexpr std::chrono::milliseconds kReportWhileShared{250};
+constexpr std::chrono::milliseconds kSharedReportInterval{250};
 
 const char* NameOf(SlotVerdict verdict) {
   switch (verdict) {
@@ -42,8 +42,8 @@
               Hash64(this->owned.leaseholder, runtime.incarnation),
               this->owned.service, this->owned.address},
              runtime.dialect, this->client, *runtime.jobs, this->desk),
-      foreign(this->owned.beside ? slots::ReportAge::kFresh
-                                 : slots::ReportAge::kLate) {}
+      foreign(this->owned.same_vm ? slots::ReportAge::kFresh
+                                  : slots::ReportAge::kLate) {}
 
 EngineOwner::~EngineOwner() {
   if (this->report_call.has_value()) {
@@ -68,22 +68,22 @@
   }
   this->desk.SetSlots(present ? found->slots : 0);
   this->runner.SetRoutes(this->runtime.table);
-  this->Apply();
+  this->UpdateAvailability();
   if (present) {
-    this->TakeListed(*found);
+    this->ApplyListing(*found);
   }
   if (this->AwaitsFirstReport()) {
-    this->AskReport(MonotonicNow());
+    this->RequestReport(MonotonicNow());
   }
-  this->Settle(MonotonicNow());
+  this->ProcessQueues(MonotonicNow());
 }
 
 bool EngineOwner::AwaitsFirstReport() const {
-  return !this->owned.beside && !this->foreign.Known() && this->engine_up &&
+  return !this->owned.same_vm && !this->foreign.Known() && this->engine_up &&
          !this->leaving && !this->id.empty();
 }
 
-void EngineOwner::Apply() {
+void EngineOwner::UpdateAvailability() {
   const bool up = this->pulse.Up();
   if (up != this->engine_up) {
     this->engine_up = up;
@@ -91,9 +91,9 @@
         {{"engine", this->id},
          {"address", this->owned.address},
          {"reachable", up},
-         {"items_held", this->runner.Held()}});
+         {"items_held", this->runner.HeldCount()}});
   }
-  const bool knows_others = this->owned.beside || this->foreign.Known();
+  const bool knows_others = this->owned.same_vm || this->foreign.Known();
   const bool takes_work =
       up && knows_others && !this->leaving && !this->id.empty();
   this->desk.SetOpen(takes_work);
@@ -105,13 +105,13 @@
 
 /// Symptom guarded against: slots stay taken, or items wait, after another
 /// replica has begun at this address, for what the one before was running.
-void EngineOwner::TakeListed(const coordination::EngineInstance& listed) {
+void EngineOwner::ApplyListing(const coordination::EngineInstance& listed) {
   const bool other_replica =
       !this->last_id.empty() && this->last_id != listed.id;
   this->last_id = listed.id;
   if (other_replica) {
     this->started_ms = 0;  // Its clock may be behind the former's.
-    this->OnOtherStart();
+    this->OnEngineRestart();
   }
   this->LearnStart(listed.started_ms);
 }
@@ -128,30 +128,30 @@
        {"address", this->owned.address},
        {"started_ms", started_ms},
        {"started_before_ms", before}});
-  this->OnOtherStart();
+  this->OnEngineRestart();
 }
 
 /// Drops what holds only for the former start of the engine: runs counted as
 /// others', kept connections, and batch items that it was running. Online runs
 /// are their entries' to end.
-void EngineOwner::OnOtherStart() {
+void EngineOwner::OnEngineRestart() {
   this->foreign.Forget();
   this->desk.SetForeign(0);
   this->client.CloseIdle(ParseEndpoint(this->owned.address, "engine_address"));
   this->runner.EngineRestarted();
 }
 
-void EngineOwner::Ask(transport::StreamId stream, const AskSlot& ask) {
+void EngineOwner::Ask(transport::StreamId stream, const AcquireSlot& ask) {
   const Time now = MonotonicNow();
   if (!this->AwaitsFirstReport()) {
     this->Decide(stream, ask, now);
-  } else if (!this->held.Hold(stream, ask, now)) {
+  } else if (!this->pending.Offer(stream, ask, now)) {
     this->Answer(stream, {ask.request, now, ask.wait_ms},
                  SlotVerdict::kNotOwner);
   }
 }
 
-void EngineOwner::Decide(transport::StreamId stream, const AskSlot& ask,
+void EngineOwner::Decide(transport::StreamId stream, const AcquireSlot& ask,
                          Time asked) {
   const Time now = MonotonicNow();
   const bool other_engine = this->id.empty() || ask.engine_id != this->id;
@@ -207,7 +207,7 @@
 }
 
 bool EngineOwner::Cancelled(transport::StreamId stream) {
-  if (this->held.Remove(stream)) {
+  if (this->pending.Remove(stream)) {
     return true;
   }
   if (this->tickets.erase(stream) == 0) {
@@ -215,26 +215,26 @@
   }
   const Time now = MonotonicNow();
   this->desk.Leave(stream, now);
-  this->Settle(now);
+  this->ProcessQueues(now);
   return true;
 }
 
-void EngineOwner::SettleHeld(Time now) {
+void EngineOwner::ProcessPending(Time now) {
   if (this->AwaitsFirstReport()) {
-    for (const HeldAsk& late : this->held.TakeExpired(now)) {
+    for (const PendingAcquire& late : this->pending.TakeExpired(now)) {
       this->Answer(late.stream,
                    {late.ask.request, late.asked, late.ask.wait_ms},
                    SlotVerdict::kNotOwner);
     }
     return;
   }
-  for (const HeldAsk& early : this->held.TakeAll()) {
+  for (const PendingAcquire& early : this->pending.TakeAll()) {
     this->Decide(early.stream, early.ask, early.asked);
   }
 }
 
-void EngineOwner::Settle(Time now) {
-  this->SettleHeld(now);
+void EngineOwner::ProcessQueues(Time now) {
+  this->ProcessPending(now);
   const slots::SlotLoad own = this->desk.Load();
   this->foreign.Held(own.online + own.batch);
   for (const slots::TicketId stream : this->desk.TakeExpired(now)) {
@@ -256,33 +256,34 @@
 
 void EngineOwner::Tick() {
   const Time now = MonotonicNow();
-  this->AskReport(now);
-  this->Settle(now);
+  this->RequestReport(now);
+  this->ProcessQueues(now);
   this->runner.Tick();
 }
 
-Duration EngineOwner::ReportPace() const {
-  if (this->owned.beside) {
-    return kReportEvery;
+Duration EngineOwner::ReportInterval() const {
+  if (this->owned.same_vm) {
+    return kLocalReportInterval;
   }
-  return this->foreign.Counted() > 0 ? kReportWhileShared : kRemoteReportEvery;
+  return this->foreign.Counted() > 0 ? kSharedReportInterval
+                                     : kRemoteReportInterval;
 }
 
 /// The engine's own word on what runs in it.
-void EngineOwner::AskReport(Time now) {
+void EngineOwner::RequestReport(Time now) {
   if (this->report_call.has_value() && this->pulse.Overdue(now)) {
     if (this->report_problems.Due("overdue", now)) {
       Log(LogLevel::kWarn, "engine_report_overdue", {{"engine", this->id}});
     }
     this->client.Cancel(*std::exchange(this->report_call, std::nullopt));
     this->pulse.FellSilent();
-    this->Apply();
+    this->UpdateAvailability();
   }
   const bool due = now >= this->next_report || this->pulse.InDoubt();
   if (this->report_call.has_value() || !due || this->id.empty()) {
     return;
   }
-  this->next_report = now + this->ReportPace();
+  this->next_report = now + this->ReportInterval();
   this->pulse.Asked(now);
   http::HttpCall call;
   call.peer = ParseEndpoint(this->owned.address, "engine_address");
@@ -304,13 +305,13 @@
 
 void EngineOwner::ReportFailed() {
   this->pulse.Failed();
-  this->Apply();
-  this->Settle(MonotonicNow());
+  this->UpdateAvailability();
+  this->ProcessQueues(MonotonicNow());
 }
 
 void EngineOwner::OnReport(const std::string& body) {
   this->pulse.Answered();
-  this->Apply();
+  this->UpdateAvailability();
   EngineLoad load;
   try {
     load = this->runtime.dialect.read_report(body);
@@ -326,8 +327,8 @@
   const slots::SlotLoad own = this->desk.Load();
   this->desk.SetForeign(this->foreign.Reported(load.running + load.waiting,
                                                own.online + own.batch));
-  this->Apply();
-  this->Settle(MonotonicNow());
+  this->UpdateAvailability();
+  this->ProcessQueues(MonotonicNow());
 }
 
 OwnedEngineState EngineOwner::State() const {
@@ -335,7 +336,7 @@
   state.address = this->owned.address;
   state.id = this->id;
   state.service = this->owned.service;
-  state.beside = this->owned.beside;
+  state.same_vm = this->owned.same_vm;
   state.open = this->desk.Open();
   state.load = this->desk.Load();
   return state;
@@ -344,17 +345,17 @@
 void EngineOwner::BeginLeave() {
   this->leaving = true;
   this->desk.SetOpen(false);
-  this->Settle(MonotonicNow());
+  this->ProcessQueues(MonotonicNow());
   this->runner.Stop();
 }
 
 bool EngineOwner::Drained() const {
-  return this->tickets.empty() && this->held.Empty() &&
-         this->runner.Held() == 0;
+  return this->tickets.empty() && this->pending.Empty() &&
+         this->runner.HeldCount() == 0;
 }
 
 bool EngineOwner::HandedOver() const {
-  return this->Drained() && this->runner.Returned();
+  return this->Drained() && this->runner.AllReturned();
 }
 
 }  // namespace papayarack::nodes
--- a/src/nodes/internal/entrynode.cpp
+++ b/src/nodes/internal/entrynode.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::chrono::milliseconds kTick{200};
 /// Requests held at a start are looked at this often.
-constexpr std::chrono::milliseconds kHoldTick{20};
+constexpr std::chrono::milliseconds kEarlyTick{20};
 /// Retry-After where another process can take the request now.
 constexpr const char* kRetryElsewhere = "0.05";
 
@@ -20,9 +20,9 @@
 EntryNode::EntryNode(NodeRuntime& runtime)
     : runtime(runtime),
       list_client(runtime.context),
-      early(MonotonicNow()),
-      early_timer(runtime.context),
-      own_pace(runtime.incarnation),
+      startup_queue(MonotonicNow()),
+      startup_timer(runtime.context),
+      list_schedule(runtime.incarnation),
       leader_timer(runtime.context),
       host(runtime),
       timer(runtime.context) {
@@ -38,10 +38,10 @@
   this->relay = std::make_unique<OnlineRelay>(
       runtime.context, this->front, *runtime.peers, *runtime.watch,
       runtime.dialect, runtime.metrics,
-      RelayPlace{runtime.options.name, runtime.options.zone},
+      RelayLocation{runtime.options.name, runtime.options.zone},
       runtime.incarnation);
   this->ListenReady();
-  this->operators = std::make_unique<OperatorFront>(this->runtime);
+  this->operators = std::make_unique<OperatorApi>(this->runtime);
   this->PollListWhenCutOff();
 }
 
@@ -67,7 +67,7 @@
       *this->runtime.peers, this->runtime.server, this->runtime.dispatch,
       [this](std::function<void(
                  std::optional<std::vector<coordination::EngineInstance>>)>
-                 done) { this->ReadForLeader(std::move(done)); },
+                 done) { this->ReadListForLeader(std::move(done)); },
       [this](const std::string& reason) {
         this->runtime.StorageFailed(reason);
       });
@@ -76,7 +76,7 @@
 /// Symptom guarded against: the leader alone makes more calls than the platform
 /// takes, and each of its readings is refused a page: it reads anew at a fixed
 /// pace, and the list has grown to many pages. So the pause grows with them.
-void EntryNode::ReadForLeader(
+void EntryNode::ReadListForLeader(
     std::function<
         void(std::optional<std::vector<coordination::EngineInstance>>)>
         done) {
@@ -85,8 +85,8 @@
     return;
   }
   const auto pause =
-      LeaderListPause(ListRate(this->runtime.options.list_calls_per_second),
-                      this->runtime.list_reader.pages);
+      LeaderListInterval(ListRate(this->runtime.options.list_calls_per_second),
+                         this->runtime.list_reader.pages);
   this->leader_timer.expires_after(std::max<Duration>(
       this->leader_read + pause - MonotonicNow(), Duration::zero()));
   this->leader_timer.async_wait([this, alive = this->alive,
@@ -112,7 +112,8 @@
     this->OnRequest(exchange, std::move(request));
   };
   handlers.on_gone = [this](ExchangeId exchange) {
-    if (!this->relay->CallerGone(exchange) && !this->early.Remove(exchange)) {
+    if (!this->relay->CallerGone(exchange) &&
+        !this->startup_queue.Remove(exchange)) {
       this->batches->CallerGone(exchange);
     }
   };
@@ -120,7 +121,7 @@
       this->runtime.context, *this->runtime.options.front,
       http::HttpServerLimits{}, std::move(handlers));
   this->front = this->owned_front.get();
-  this->batches = std::make_unique<BatchFront>(this->runtime, *this->front);
+  this->batches = std::make_unique<BatchApi>(this->runtime, *this->front);
 }
 
 bool EntryNode::KnowsFleet() const {
@@ -136,8 +137,8 @@
   }
   http::HttpServerHandlers handlers;
   handlers.on_request = [this](ExchangeId exchange, const http::HttpRequest&) {
-    this->ready->Respond(exchange,
-                         Plain(this->Ready() ? kOk : kServiceUnavailable));
+    this->ready->Respond(
+        exchange, EmptyResponse(this->Ready() ? kOk : kServiceUnavailable));
   };
   handlers.on_gone = [](ExchangeId) {};
   this->ready = std::make_unique<http::HttpServer>(
@@ -160,20 +161,20 @@
     this->front->SetLimits(limits);
   }
   if (change.Any()) {
-    this->ShowFleetToRelay();
+    this->UpdateRelay();
     this->host.OnFleet();
   }
   this->relay->SetListSeen(this->runtime.watch->knowledge().engines_seen);
   if (this->KnowsFleet()) {
-    for (EarlyRequest& held : this->early.TakeAll()) {
+    for (EarlyRequest& held : this->startup_queue.TakeAll()) {
       this->Serve(held.exchange, std::move(held.request), held.arrived);
     }
   }
 }
 
-void EntryNode::ShowFleetToRelay() {
+void EntryNode::UpdateRelay() {
   const coordination::FleetKnowledge& fleet = this->runtime.watch->knowledge();
-  this->hosts_named = ListNamesHosts(fleet, MonotonicNow());
+  this->host_list_valid = HostListValid(fleet, MonotonicNow());
   if (this->runtime.table != nullptr) {
     this->relay->SetFleet(fleet, this->runtime.table->configuration());
   }
@@ -189,33 +190,33 @@
     this->Serve(exchange, std::move(request), now);
     return;
   }
-  const bool first = this->early.Empty();
-  if (!this->early.Offer(exchange, request, now)) {
+  const bool first = this->startup_queue.Empty();
+  if (!this->startup_queue.Offer(exchange, request, now)) {
     this->Serve(exchange, std::move(request), now);
   } else if (first) {
-    this->CheckEarly();
+    this->ScheduleEarlyCheck();
   }
 }
 
-void EntryNode::CheckEarly() {
-  this->early_timer.expires_after(kHoldTick);
-  this->early_timer.async_wait(
-      [this, alive = this->alive](std::error_code error) {
-        if (error || !*alive) {
-          return;
-        }
-        for (EarlyRequest& held : this->early.TakeExpired(MonotonicNow())) {
-          this->Serve(held.exchange, std::move(held.request), held.arrived);
-        }
-        if (!this->early.Empty()) {
-          this->CheckEarly();
-        }
-      });
+void EntryNode::ScheduleEarlyCheck() {
+  this->startup_timer.expires_after(kEarlyTick);
+  this->startup_timer.async_wait([this,
+                                  alive = this->alive](std::error_code error) {
+    if (error || !*alive) {
+      return;
+    }
+    for (EarlyRequest& held : this->startup_queue.TakeExpired(MonotonicNow())) {
+      this->Serve(held.exchange, std::move(held.request), held.arrived);
+    }
+    if (!this->startup_queue.Empty()) {
+      this->ScheduleEarlyCheck();
+    }
+  });
 }
 
 void EntryNode::Refuse(ExchangeId exchange, const http::HttpRequest& request,
                        const char* reason, const char* retry_after) {
-  http::HttpResponse response = Plain(kServiceUnavailable);
+  http::HttpResponse response = EmptyResponse(kServiceUnavailable);
   response.headers.Set("Retry-After", retry_after);
   Log(LogLevel::kInfo, "request_refused",
       {{"path", std::string(request.Path())}, {"reason", reason}});
@@ -242,7 +243,7 @@
         {{"host", std::string(request.headers.Get("Host"))},
          {"path", std::string(request.Path())},
          {"config_version", table->configuration().version}});
-    this->front->Respond(exchange, Plain(kNotFoundStatus));
+    this->front->Respond(exchange, EmptyResponse(kNotFoundStatus));
     return;
   }
   if (route->kind == routes::RouteKind::kBatch) {
@@ -261,34 +262,34 @@
     const Time now = MonotonicNow();
     const coordination::FleetKnowledge& fleet =
         this->runtime.watch->knowledge();
-    if (ListNamesHosts(fleet, now) != this->hosts_named) {
-      this->ShowFleetToRelay();
+    if (HostListValid(fleet, now) != this->host_list_valid) {
+      this->UpdateRelay();
     }
     const Time seen = fleet.engines_seen;
     if (this->runtime.options.list.has_value() && seen != Time{} &&
         !this->polling) {
-      const ListLoad load = this->LoadOnList();
-      if (now - seen > ListTooOld(load) && this->own_pace.Due(load, now)) {
-        this->ReadByItself();
+      const ListLoad load = this->EstimateListLoad();
+      if (now - seen > MaxListAge(load) && this->list_schedule.Due(load, now)) {
+        this->ReadListDirectly();
       }
     }
     this->PollListWhenCutOff();
   });
 }
 
-ListLoad EntryNode::LoadOnList() const {
+ListLoad EntryNode::EstimateListLoad() const {
   const coordination::FleetKnowledge& known = this->runtime.watch->knowledge();
   ListLoad load;
   load.rate = ListRate(this->runtime.options.list_calls_per_second);
-  load.readers = LikelyReaders(this->runtime.watch->search().members().size(),
-                               known.engines.size());
+  load.readers = EstimateReaders(this->runtime.watch->search().members().size(),
+                                 known.engines.size());
   // Most processes have read no list before; the one they hold tells its size.
   load.pages = std::max(this->runtime.list_reader.pages,
-                        LikelyPages(known.engines.size()));
+                        EstimatePages(known.engines.size()));
   return load;
 }
 
-void EntryNode::ReadByItself() {
+void EntryNode::ReadListDirectly() {
   this->polling = true;
   const Time begun = MonotonicNow();
   ReadEngineList(
@@ -297,8 +298,9 @@
       [this, begun](
           std::optional<std::vector<coordination::EngineInstance>> engines) {
         this->polling = false;
-        this->own_pace.Ended(this->LoadOnList(), engines.has_value(),
-                             this->runtime.list_reader.refused, MonotonicNow());
+        this->list_schedule.Ended(this->EstimateListLoad(), engines.has_value(),
+                                  this->runtime.list_reader.refused,
+                                  MonotonicNow());
         // A leader that was heard again has meanwhile told of a newer list.
         if (engines.has_value() &&
             this->runtime.watch->knowledge().engines_seen <= begun) {
--- a/src/nodes/internal/fleetengines.cpp
+++ b/src/nodes/internal/fleetengines.cpp
@@ -77,7 +77,7 @@
 
 /// Symptom guarded against: a process refuses everybody though engines are
 /// idle. Nobody owns them, and of none of them a slot is its own to use.
-void GiveOneSlot(std::vector<placement::EngineOption>& options) {
+void EnsureOneSlot(std::vector<placement::EngineOption>& options) {
   const bool some = std::ranges::any_of(options, [](const auto& option) {
     const bool has_gate = !option.gate.empty() && !option.hosted;
     return has_gate || option.unowned_share > 0;
@@ -90,14 +90,15 @@
 
 }  // namespace
 
-bool ListNamesHosts(const coordination::FleetKnowledge& fleet, Time now) {
-  return fleet.names_hosts && now - fleet.heard <= kHostsHold;
+bool HostListValid(const coordination::FleetKnowledge& fleet, Time now) {
+  return fleet.names_hosts && now - fleet.heard <= kHostListValidity;
 }
 
-std::vector<EngineAt> EnginesOwnedBy(const coordination::FleetKnowledge& fleet,
-                                     std::string_view host, Time now) {
-  std::vector<EngineAt> owned;
-  if (!ListNamesHosts(fleet, now)) {
+std::vector<EngineLocation> EnginesOwnedBy(
+    const coordination::FleetKnowledge& fleet, std::string_view host,
+    Time now) {
+  std::vector<EngineLocation> owned;
+  if (!HostListValid(fleet, now)) {
     return owned;
   }
   for (const auto& [address, owner] : HostedOf(fleet, GatesOf(fleet))) {
@@ -115,7 +116,7 @@
     Time now) {
   const Owners gates = GatesOf(fleet);
   const Owners hosts =
-      ListNamesHosts(fleet, now) ? HostedOf(fleet, gates) : Owners{};
+      HostListValid(fleet, now) ? HostedOf(fleet, gates) : Owners{};
   std::map<std::string, std::vector<placement::EngineOption>> by_service;
   for (const routes::ServiceSpec& service : configuration.services) {
     by_service[service.name];
@@ -151,7 +152,7 @@
     options->second.push_back(std::move(option));
   }
   for (auto& [service, options] : by_service) {
-    GiveOneSlot(options);
+    EnsureOneSlot(options);
   }
   return by_service;
 }
--- a/src/nodes/internal/listpace.cpp
+++ b/src/nodes/internal/listpolling.cpp
@@ -1,4 +1,4 @@
-#include "nodes/listpace.h"
+#include "nodes/listpolling.h"
 
 #include <algorithm>
 
@@ -28,7 +28,7 @@
 }
 
 milliseconds RoundOf(const ListLoad& load) {
-  return TimeFor(static_cast<double>(load.readers * load.pages), kOwnShare,
+  return TimeFor(static_cast<double>(load.readers * load.pages), kFallbackShare,
                  load.rate);
 }
 
@@ -46,31 +46,31 @@
 
 double ListRate(double told) { return told > 0 ? told : kDefaultListRate; }
 
-std::size_t LikelyReaders(std::size_t members, std::size_t replicas) {
+std::size_t EstimateReaders(std::size_t members, std::size_t replicas) {
   const std::size_t least = std::max<std::size_t>(members, 1);
   return std::max(least, std::min(replicas / kReplicasPerEntry, kMostReaders));
 }
 
-std::size_t LikelyPages(std::size_t replicas) {
+std::size_t EstimatePages(std::size_t replicas) {
   return replicas / kReplicasPerPage + 1;
 }
 
-milliseconds LeaderListPause(double rate, std::size_t pages) {
+milliseconds LeaderListInterval(double rate, std::size_t pages) {
   return TimeFor(static_cast<double>(pages), kLeaderShare, rate);
 }
 
-milliseconds ListTooOld(const ListLoad& load) {
-  return kListTooOld +
-         std::max(LeaderListPause(load.rate, load.pages) - kLeaderPause,
-                  milliseconds(0));
+milliseconds MaxListAge(const ListLoad& load) {
+  return kMaxListAge + std::max(LeaderListInterval(load.rate, load.pages) -
+                                    kLeaderListInterval,
+                                milliseconds(0));
 }
 
-OwnListPace::OwnListPace(std::uint64_t seed) : random(Seeded(seed)) {}
+ListPollSchedule::ListPollSchedule(std::uint64_t seed) : random(Seeded(seed)) {}
 
-double OwnListPace::Chance() { return ChanceOf(this->random); }
+double ListPollSchedule::Chance() { return ChanceOf(this->random); }
 
-bool OwnListPace::Due(const ListLoad& load, Time now) {
-  if (!this->next.has_value() || now - *this->next > kOver) {
+bool ListPollSchedule::Due(const ListLoad& load, Time now) {
+  if (!this->next.has_value() || now - *this->next > kScheduleExpiry) {
     // Small fleets need no time for a round: nobody waits there.
     this->next = now + Millis(this->Chance() *
                               static_cast<double>(RoundOf(load).count()));
@@ -78,60 +78,60 @@
   return now >= *this->next;
 }
 
-void OwnListPace::Ended(const ListLoad& load, bool whole, std::size_t refused,
-                        Time now) {
+void ListPollSchedule::Ended(const ListLoad& load, bool whole,
+                             std::size_t refused, Time now) {
   if (whole) {
-    this->stretch = std::max(this->stretch / kFaster, 1.0);
+    this->stretch = std::max(this->stretch / kRecoveryFactor, 1.0);
   } else if (refused > 0) {
-    this->stretch = std::min(this->stretch * kSlower, kMostStretch);
+    this->stretch = std::min(this->stretch * kBackoffFactor, kMaxStretch);
   }
   const auto least =
-      static_cast<double>(std::max(RoundOf(load), kLeastPause).count());
+      static_cast<double>(std::max(RoundOf(load), kMinPause).count());
   this->next =
       now + Millis(least * this->stretch * (1 + kJitter * this->Chance()));
 }
 
-SearchPace::SearchPace(std::uint64_t seed) : random(Seeded(seed)) {}
+SearchBackoff::SearchBackoff(std::uint64_t seed) : random(Seeded(seed)) {}
 
-milliseconds SearchPace::Next() {
+milliseconds SearchBackoff::Next() {
   constexpr double kLeast = 0.75;
   constexpr double kJitter = 0.5;
   return Millis(static_cast<double>(this->pause.count()) *
                 (kLeast + kJitter * ChanceOf(this->random)));
 }
 
-void SearchPace::Ended(bool read) {
+void SearchBackoff::Ended(bool read) {
   if (read) {
-    this->pages = std::min(this->pages * 2, kMostPages);
-    this->pause = std::max(this->pause / 2, kLeastPause);
+    this->pages = std::min(this->pages * 2, kMaxPages);
+    this->pause = std::max(this->pause / 2, kMinPause);
   } else {
     this->pages = std::max<std::size_t>(this->pages / 2, 1);
-    this->pause = std::min(this->pause * 2, kMostPause);
+    this->pause = std::min(this->pause * 2, kMaxPause);
   }
 }
 
-void SearchPace::Found() {
+void SearchBackoff::Found() {
   this->pages = 1;
-  this->pause = kLeastPause;
+  this->pause = kMinPause;
 }
 
 std::optional<milliseconds> PageRetry::Again(Time now, double chance) {
-  if (this->repeats >= this->most_repeats) {
+  if (this->repeats >= this->max_repeats) {
     return std::nullopt;
   }
   const milliseconds longest =
-      std::min(kFirstPause * (1 << this->repeats), kLongestPause);
+      std::min(kInitialPause * (1 << this->repeats), kMaxPause);
   // At least half: a page asked for again at once would be refused again.
   const milliseconds pause =
       Millis(static_cast<double>(longest.count()) * (1 + chance) / 2);
-  if (now + pause >= this->begun + kLongestReading) {
+  if (now + pause >= this->begun + kMaxReadTime) {
     return std::nullopt;
   }
   ++this->repeats;
   return pause;
 }
 
-bool MayBeGivenLater(int status) {
+bool IsRetryableStatus(int status) {
   return status == kTooMany || status >= kServerError;
 }
 
--- a/src/nodes/internal/listreading.cpp
+++ b/src/nodes/internal/listreading.cpp
@@ -19,33 +19,33 @@
 class ListReading : public std::enable_shared_from_this<ListReading> {
  public:
   ListReading(asio::io_context& context, http::HttpClient& client,
-              const Dialect& dialect, Endpoint list, ListReader& reader,
-              const ListExtent& extent,
+              const Dialect& dialect, Endpoint list, ListReaderState& reader,
+              const ListReadLimits& extent,
               std::function<void(std::optional<EngineList>)> done)
       : client(client),
         dialect(dialect),
         list(std::move(list)),
         reader(reader),
-        most_pages(extent.most_pages),
+        max_pages(extent.max_pages),
         done(std::move(done)),
-        retry(MonotonicNow(), extent.most_repeats),
-        again(context),
-        limit(context) {}
+        retry(MonotonicNow(), extent.max_repeats),
+        retry_timer(context),
+        deadline_timer(context) {}
 
   void Begin() {
-    this->limit.expires_after(PageRetry::kLongestReading);
-    this->limit.async_wait(
+    this->deadline_timer.expires_after(PageRetry::kMaxReadTime);
+    this->deadline_timer.async_wait(
         [self = this->shared_from_this()](std::error_code error) {
-          if (!error && !self->over) {
+          if (!error && !self->ended) {
             self->client.Cancel(self->call);
             self->GiveUp("took too long");
           }
         });
-    this->Ask();
+    this->RequestPage();
   }
 
  private:
-  void Ask() {
+  void RequestPage() {
     http::HttpCall ask;
     ask.peer = this->list;
     ask.target = this->dialect.list_target(this->token);
@@ -65,14 +65,14 @@
 
   void OnEnd(http::HttpEnd end) {
     if (end != http::HttpEnd::kComplete) {
-      this->AskAgain(fmt::format("call ended {}", static_cast<int>(end)));
+      this->RetryPage(fmt::format("call ended {}", static_cast<int>(end)));
       return;
     }
     if (this->status != kOk) {
       this->refused += this->status == kTooMany ? 1 : 0;
       const std::string reason = fmt::format("status {}", this->status);
-      if (MayBeGivenLater(this->status)) {
-        this->AskAgain(reason);
+      if (IsRetryableStatus(this->status)) {
+        this->RetryPage(reason);
       } else {
         this->GiveUp(reason);
       }
@@ -91,7 +91,7 @@
   /// Symptom guarded against: a list is never whole. One call among all
   /// processes is over the platform's rate, the pages before it are thrown away
   /// and asked for anew, and those calls are over the rate in their turn.
-  void AskAgain(const std::string& reason) {
+  void RetryPage(const std::string& reason) {
     const double chance =
         std::uniform_real_distribution<double>(0, 1)(this->reader.random);
     const auto pause = this->retry.Again(MonotonicNow(), chance);
@@ -99,21 +99,21 @@
       this->GiveUp(reason);
       return;
     }
-    this->again.expires_after(*pause);
-    this->again.async_wait(
+    this->retry_timer.expires_after(*pause);
+    this->retry_timer.async_wait(
         [self = this->shared_from_this()](std::error_code error) {
-          if (!error && !self->over) {
-            self->Ask();
+          if (!error && !self->ended) {
+            self->RequestPage();
           }
         });
   }
 
   void Take(EnginePage& page) {
-    this->retry.Taken();
+    this->retry.PageRead();
     for (coordination::EngineInstance& engine : page.engines) {
       // The list moves between two pages, so that an entry can come again.
       const auto [place, added] =
-          this->places.try_emplace(engine.Key(), this->engines.size());
+          this->index_by_key.try_emplace(engine.Key(), this->engines.size());
       if (added) {
         this->engines.push_back(std::move(engine));
       } else {
@@ -125,15 +125,15 @@
       this->first_problem = std::move(page.first_problem);
     }
     ++this->pages;
-    if (page.next.empty() || this->pages >= this->most_pages) {
+    if (page.next.empty() || this->pages >= this->max_pages) {
       this->LogSkipped();
-      this->reader.unread.Due({}, MonotonicNow());
+      this->reader.failures.Due({}, MonotonicNow());
       this->reader.pages = this->pages;
       this->End(std::move(this->engines));
       return;
     }
     this->token = std::move(page.next);
-    this->Ask();
+    this->RequestPage();
   }
 
   /// Symptom guarded against: a replica that exists gets no request, and
@@ -153,7 +153,7 @@
   }
 
   void GiveUp(const std::string& reason) {
-    if (this->reader.unread.Due(reason, MonotonicNow())) {
+    if (this->reader.failures.Due(reason, MonotonicNow())) {
       Log(LogLevel::kWarn, "engine_list_unread",
           {{"reason", reason},
            {"pages", this->pages},
@@ -165,9 +165,9 @@
   }
 
   void End(std::optional<EngineList> result) {
-    this->over = true;
-    this->again.cancel();
-    this->limit.cancel();
+    this->ended = true;
+    this->retry_timer.cancel();
+    this->deadline_timer.cancel();
     this->reader.refused = this->refused;
     this->done(std::move(result));
   }
@@ -175,30 +175,30 @@
   http::HttpClient& client;
   const Dialect& dialect;
   Endpoint list;
-  ListReader& reader;
-  std::size_t most_pages;
+  ListReaderState& reader;
+  std::size_t max_pages;
   std::function<void(std::optional<EngineList>)> done;
   PageRetry retry;
-  asio::steady_timer again;
-  asio::steady_timer limit;
+  asio::steady_timer retry_timer;
+  asio::steady_timer deadline_timer;
   http::HttpCallId call = 0;
   std::string token;  ///< Of the page being read; empty for the first.
   std::string body;
   int status = 0;
   EngineList engines;
-  std::unordered_map<std::string, std::size_t> places;  ///< By Key().
+  std::unordered_map<std::string, std::size_t> index_by_key;  ///< By Key().
   std::size_t pages = 0;
   std::size_t refused = 0;
   std::size_t skipped = 0;
   std::string first_problem;
-  bool over = false;
+  bool ended = false;
 };
 
 }  // namespace
 
 void ReadEngineList(
     asio::io_context& context, http::HttpClient& client, const Dialect& dialect,
-    const Endpoint& list, ListReader& reader, const ListExtent& extent,
+    const Endpoint& list, ListReaderState& reader, const ListReadLimits& extent,
     std::function<
         void(std::optional<std::vector<coordination::EngineInstance>>)>
         done) {
--- a/src/nodes/internal/logthrottle.cpp
+++ b/src/nodes/internal/logthrottle.cpp
@@ -8,7 +8,7 @@
     return false;
   }
   const bool just_logged =
-      this->logged_at != Time{} && now - this->logged_at < kLeastPause;
+      this->logged_at != Time{} && now - this->logged_at < kMinInterval;
   if (text == this->logged || just_logged) {
     return false;
   }
--- a/src/nodes/internal/loopwatch.cpp
+++ b/src/nodes/internal/loopdelaymonitor.cpp
@@ -1,4 +1,4 @@
-#include "nodes/loopwatch.h"
+#include "nodes/loopdelaymonitor.h"
 
 #include <time.h>
 
@@ -21,25 +21,25 @@
 
 }  // namespace
 
-LoopWatch::LoopWatch(asio::io_context& context, Metrics& metrics)
+LoopDelayMonitor::LoopDelayMonitor(asio::io_context& context, Metrics& metrics)
     : metrics(metrics), timer(context) {
   this->Wait();
 }
 
-void LoopWatch::Wait() {
-  const Time due = MonotonicNow() + kEvery;
-  this->timer.expires_after(kEvery);
+void LoopDelayMonitor::Wait() {
+  const Time due = MonotonicNow() + kInterval;
+  this->timer.expires_after(kInterval);
   this->timer.async_wait(
       [this, due, used = UsedByThread()](std::error_code error) {
         if (error) {
           return;
         }
-        this->Look(MonotonicNow() - due, UsedByThread() - used);
+        this->Check(MonotonicNow() - due, UsedByThread() - used);
         this->Wait();
       });
 }
 
-void LoopWatch::Look(Duration delay, std::chrono::nanoseconds used) {
+void LoopDelayMonitor::Check(Duration delay, std::chrono::nanoseconds used) {
   if (delay < kLongDelay) {
     return;
   }
--- a/src/nodes/internal/noderunner.cpp
+++ b/src/nodes/internal/noderunner.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 /// The balancer asks once a second and takes a process out after two misses.
-constexpr std::chrono::milliseconds kBalancerLearns{2600};
+constexpr std::chrono::milliseconds kBalancerReactionTime{2600};
 /// A store waits this long for its successor to be elected.
-constexpr std::chrono::milliseconds kHandOver{400};
+constexpr std::chrono::milliseconds kHandoverTime{400};
 /// What is kept of the grace time for ending the process itself.
 constexpr std::chrono::milliseconds kGraceMargin{700};
 constexpr std::chrono::milliseconds kLeaveTick{50};
@@ -40,9 +40,9 @@
 }
 
 /// Signals, reloads and the graceful end of one node.
-class Shell {
+class NodeLifecycle {
  public:
-  Shell(const ReadOptions& read_options, const Dialect& dialect)
+  NodeLifecycle(const ReadOptions& read_options, const Dialect& dialect)
       : read_options(read_options),
         runtime(read_options(), dialect),
         node(MakeNode(this->runtime)),
@@ -105,9 +105,9 @@
     this->AwaitDrained();
   }
 
-  void RefuseNewWhenKnown(Duration waited) {
+  void RefuseNewWhenDue(Duration waited) {
     auto* entry = std::get_if<std::unique_ptr<EntryNode>>(&this->node);
-    if (entry != nullptr && waited >= kBalancerLearns) {
+    if (entry != nullptr && waited >= kBalancerReactionTime) {
       (*entry)->RefuseNew();
     }
   }
@@ -118,13 +118,13 @@
     }
     return std::visit(
         Overloaded{[waited](const std::unique_ptr<EntryNode>& entry) {
-                     return waited >= kBalancerLearns && entry->Drained();
+                     return waited >= kBalancerReactionTime && entry->Drained();
                    },
                    [](const std::unique_ptr<GateNode>& gate) {
                      return gate->Drained();
                    },
                    [waited](const std::unique_ptr<StoreNode>& store) {
-                     return waited >= kHandOver && store->Drained();
+                     return waited >= kHandoverTime && store->Drained();
                    }},
         this->node);
   }
@@ -136,7 +136,7 @@
         return;
       }
       const Duration waited = MonotonicNow() - this->leave_began;
-      this->RefuseNewWhenKnown(waited);
+      this->RefuseNewWhenDue(waited);
       if (this->Done(waited)) {
         Log(LogLevel::kInfo, "stopped");
         this->runtime.context.stop();
@@ -159,9 +159,9 @@
 }  // namespace
 
 void RunNode(const ReadOptions& read_options, const Dialect& dialect) {
-  Shell shell(read_options, dialect);
+  NodeLifecycle lifecycle(read_options, dialect);
   Log(LogLevel::kInfo, "started");
-  shell.Run();
+  lifecycle.Run();
   FlushLog();
   // Ends at once: nothing is left that a destructor would have to save.
   std::_Exit(0);
--- a/src/nodes/internal/noderuntime.cpp
+++ b/src/nodes/internal/noderuntime.cpp
@@ -22,10 +22,10 @@
 constexpr int kExitStorageFailed = 70;
 /// Without a leader for this long the platform's list is searched for processes
 /// that know one; an election and the announcements take up to 2 s.
-constexpr std::chrono::milliseconds kSearchAfter{4000};
+constexpr std::chrono::milliseconds kLeaderSilenceBeforeSearch{4000};
 /// What waits unsent is looked at this often: a link that works is rid of a
 /// large message between two looks.
-constexpr std::chrono::milliseconds kBacklogEvery{500};
+constexpr std::chrono::milliseconds kBacklogInterval{500};
 
 std::uint64_t RandomNumber() {
   std::random_device device;
@@ -46,7 +46,7 @@
     : options(std::move(given)),
       dialect(dialect),
       incarnation(RandomNumber()),
-      search_pace(this->incarnation) {
+      search_backoff(this->incarnation) {
   // Where no entry has a disk the seeds keep the coordination group in memory:
   // a restarted one is a new member, as after a lost disk.
   const bool in_memory = this->options.data_folder.empty() &&
@@ -76,7 +76,8 @@
   http::HttpServerHandlers handlers;
   handlers.on_request = [this](http::ExchangeId exchange,
                                const http::HttpRequest& request) {
-    this->metrics_server->Respond(exchange, this->Show(request.Path()));
+    this->metrics_server->Respond(exchange,
+                                  this->HandleMetricsRequest(request.Path()));
   };
   handlers.on_gone = [](http::ExchangeId) {};
   this->metrics_server = std::make_unique<http::HttpServer>(
@@ -84,7 +85,7 @@
       std::move(handlers));
 }
 
-http::HttpResponse NodeRuntime::Show(std::string_view path) {
+http::HttpResponse NodeRuntime::HandleMetricsRequest(std::string_view path) {
   http::HttpResponse response;
   if (path == "/engines") {
     std::vector<OwnedEngineState> engines;
@@ -173,7 +174,7 @@
       [this,
        changed = std::move(changed)](const coordination::FleetChange& change) {
         if (change.config) {
-          this->TakeRoutes();
+          this->LoadRoutes();
         }
         if (change.nodes) {
           this->job_search.SetMembers(
@@ -187,7 +188,7 @@
   this->watch->Start();
   this->list_client = std::make_unique<http::HttpClient>(this->context);
   this->search_timer = std::make_unique<asio::steady_timer>(this->context);
-  this->SearchInList();
+  this->ScheduleLeaderSearch();
   this->backlog_timer = std::make_unique<asio::steady_timer>(this->context);
   this->WatchBacklog();
 }
@@ -221,7 +222,7 @@
 }
 
 void NodeRuntime::WatchBacklog() {
-  this->backlog_timer->expires_after(kBacklogEvery);
+  this->backlog_timer->expires_after(kBacklogInterval);
   this->backlog_timer->async_wait([this](std::error_code error) {
     if (error) {
       return;
@@ -236,34 +237,34 @@
 /// Symptom guarded against: a process that starts while every seed in its
 /// settings is gone never joins. Beside each replica on the platform's list
 /// runs a gate, and every gate knows the members.
-void NodeRuntime::SearchInList() {
-  this->search_timer->expires_after(this->search_pace.Next());
+void NodeRuntime::ScheduleLeaderSearch() {
+  this->search_timer->expires_after(this->search_backoff.Next());
   this->search_timer->async_wait([this](std::error_code error) {
     if (error) {
       return;
     }
     const Time heard = this->watch->knowledge().heard;
-    if (MonotonicNow() - heard <= kSearchAfter) {
-      this->search_pace.Found();
+    if (MonotonicNow() - heard <= kLeaderSilenceBeforeSearch) {
+      this->search_backoff.Found();
     } else if (this->options.list.has_value()) {
-      this->Search();
+      this->SearchLeader();
       return;
     }
-    this->SearchInList();
+    this->ScheduleLeaderSearch();
   });
 }
 
-void NodeRuntime::Search() {
-  ListExtent extent;
-  extent.most_pages = this->search_pace.Pages();
+void NodeRuntime::SearchLeader() {
+  ListReadLimits extent;
+  extent.max_pages = this->search_backoff.Pages();
   // What a search is refused would be of more use to readers of the whole list.
-  extent.most_repeats = 0;
+  extent.max_repeats = 0;
   ReadEngineList(
       this->context, *this->list_client, this->dialect, *this->options.list,
       this->search_reader, extent,
       [this](const std::optional<std::vector<coordination::EngineInstance>>&
                  list) {
-        this->search_pace.Ended(list.has_value());
+        this->search_backoff.Ended(list.has_value());
         if (list.has_value()) {
           std::vector<std::string> gates;
           for (const coordination::EngineInstance& engine : *list) {
@@ -273,11 +274,11 @@
           }
           this->watch->search().SetOthers(std::move(gates));
         }
-        this->SearchInList();
+        this->ScheduleLeaderSearch();
       });
 }
 
-void NodeRuntime::TakeRoutes() {
+void NodeRuntime::LoadRoutes() {
   const coordination::FleetKnowledge& fleet = this->watch->knowledge();
   try {
     this->table = std::make_shared<routes::RouteTable>(
--- a/src/nodes/internal/onlinerelay.cpp
+++ b/src/nodes/internal/onlinerelay.cpp
@@ -16,13 +16,13 @@
 constexpr std::chrono::milliseconds kSweep{25};
 /// A repeatable request whose engine is silent for this long goes elsewhere:
 /// many times what an engine with a free slot takes to its first event.
-constexpr std::chrono::milliseconds kFirstEventSilence{700};
+constexpr std::chrono::milliseconds kMaxFirstEventSilence{700};
 /// The same between two events; half of what callers wait before they leave.
-constexpr std::chrono::milliseconds kGapSilence{900};
+constexpr std::chrono::milliseconds kMaxEventGap{900};
 /// Engines that may say "did not run" before the caller is told so.
-constexpr std::size_t kMostSends = 6;
+constexpr std::size_t kMaxSends = 6;
 /// In the log where no gate named a wait.
-constexpr std::chrono::milliseconds kNoWaitNamed{-1};
+constexpr std::chrono::milliseconds kUnknownWait{-1};
 /// For a request that is not to be run: as long as that stands.
 constexpr std::chrono::seconds kQuarantineRetryAfter =
     quarantine::CrashLedger::kRemember;
@@ -47,7 +47,7 @@
                          transport::PeerClient& peers,
                          coordination::FleetWatch& watch,
                          const Dialect& dialect, Metrics& metrics,
-                         RelayPlace place, std::uint64_t seed)
+                         RelayLocation place, std::uint64_t seed)
     : front(front),
       peers(peers),
       dialect(dialect),
@@ -55,7 +55,7 @@
       own_name(std::move(place.name)),
       own_zone(std::move(place.zone)),
       engines(context),
-      crash_watch(context, watch),
+      crash_detector(context, watch),
       chooser(seed),
       random(seed + 1),
       sweep(context) {
@@ -95,7 +95,7 @@
   call.exchange = exchange;
   call.fields = this->dialect.read_call(request.headers);
   call.request = std::move(request);
-  call.fingerprint = CrashWatch::Identify(call.request);
+  call.fingerprint = CrashDetector::Identify(call.request);
   call.table = std::move(table);
   call.route = &route;
   std::uniform_real_distribution<double> draw(0, 1);
@@ -112,11 +112,11 @@
   this->by_exchange[exchange] = id;
   this->calls.emplace(id, std::move(call));
   this->metrics.Add("online_requests_total");
-  if (this->crash_watch.Quarantined(this->calls.at(id).fingerprint)) {
+  if (this->crash_detector.Quarantined(this->calls.at(id).fingerprint)) {
     this->RefuseQuarantined(id);
     return;
   }
-  this->Place(id);
+  this->FindSlot(id);
 }
 
 std::chrono::milliseconds OnlineRelay::WaitBudget(const Call& call) const {
@@ -126,28 +126,28 @@
 }
 
 /// Chooses where to ask next, or refuses.
-void OnlineRelay::Place(CallId id) {
+void OnlineRelay::FindSlot(CallId id) {
   Call& call = this->calls.at(id);
-  if (call.sends >= kMostSends) {
+  if (call.sends >= kMaxSends) {
     this->Refuse(id, "every engine tried said that it did not run");
     return;
   }
   const placement::SearchStep step =
       call.search->Next(this->chooser, this->WaitBudget(call), MonotonicNow());
-  std::visit([this, id](const auto& next) { this->Do(id, next); }, step);
+  std::visit([this, id](const auto& next) { this->Perform(id, next); }, step);
 }
 
-void OnlineRelay::Do(CallId id, const placement::AskGate& step) {
+void OnlineRelay::Perform(CallId id, const placement::AskGate& step) {
   this->calls.at(id).engine = step.engine;
   this->Ask(id, static_cast<std::uint32_t>(step.longest_wait.count()));
 }
 
-void OnlineRelay::Do(CallId id, const placement::SendUngated& step) {
+void OnlineRelay::Perform(CallId id, const placement::SendUngated& step) {
   this->calls.at(id).engine = step.engine;
   this->Send(id);
 }
 
-void OnlineRelay::Do(CallId id, const placement::NoSlot& step) {
+void OnlineRelay::Perform(CallId id, const placement::NoSlot& step) {
   this->Refuse(id, step.reason);
 }
 
@@ -156,7 +156,7 @@
   const std::uint64_t attempt = ++call.attempt;
   call.phase = Phase::kAsking;
   call.sent = MonotonicNow();
-  AskSlot ask;
+  AcquireSlot ask;
   ask.request = call.fields.id;
   ask.engine_id = call.engine.id;
   ask.engine_address = call.engine.address;
@@ -221,7 +221,7 @@
       this->chooser.Closed(call.engine.address, MonotonicNow());
       break;
   }
-  this->Place(id);
+  this->FindSlot(id);
 }
 
 /// The gate is gone, or its connection. Before the grant nothing was sent, so
@@ -250,7 +250,7 @@
     this->chooser.Failed(call.engine.address, MonotonicNow());
     call.search->Unanswered();
   }
-  this->Place(id);
+  this->FindSlot(id);
 }
 
 void OnlineRelay::Send(CallId id) {
@@ -261,7 +261,7 @@
   ++call.sends;
   call.sent = now;
   call.last_heard = now;
-  call.begun = false;
+  call.accepted = false;
   call.splitter.Clear();
   http::HttpCall out;
   out.peer = ParseEndpoint(call.engine.address, "engine");
@@ -311,7 +311,7 @@
     call.failed_status = true;
     return;
   }
-  call.begun = true;
+  call.accepted = true;
   call.ran_at.insert(call.engine.address);
   const bool success = IsSuccess(head.status);
   // A failure is the caller's to see once nothing else can be tried, unless it
@@ -328,11 +328,11 @@
     return;
   }
   if (!call.head_sent) {
-    this->PassHead(call, head);
+    this->ForwardHead(call, head);
   }
 }
 
-void OnlineRelay::PassHead(Call& call, const http::HttpHead& head) {
+void OnlineRelay::ForwardHead(Call& call, const http::HttpHead& head) {
   http::Headers headers = head.headers;
   call.is_events = headers.Get("Content-Type").starts_with("text/event-stream");
   http::RemoveConnectionFields(headers);
@@ -358,14 +358,14 @@
     this->front->Write(call.exchange, bytes);
     return;
   }
-  if (!this->PassEvents(call, bytes)) {
+  if (!this->ForwardEvents(call, bytes)) {
     this->OnBroken(id, "an event out of order");
   }
 }
 
 /// Passes whole events on. False when they do not follow each other: a gap, a
 /// repeat or another request's events must not reach the caller.
-bool OnlineRelay::PassEvents(Call& call, std::string_view bytes) {
+bool OnlineRelay::ForwardEvents(Call& call, std::string_view bytes) {
   call.splitter.Add(bytes);
   http::StreamEvent event;
   while (call.splitter.Next(event)) {
@@ -397,16 +397,16 @@
     return;
   }
   if (end != http::HttpEnd::kComplete) {
-    this->crash_watch.Broke(call.fingerprint, call.fields.id,
-                            call.engine.Start());
+    this->crash_detector.ConnectionBroke(call.fingerprint, call.fields.id,
+                                         call.engine.Start());
     call.ran_at.insert(call.engine.address);
     this->OnBroken(id, end == http::HttpEnd::kMalformed
                            ? "the engine sent what is not an answer"
                            : "the engine's connection broke");
     return;
   }
-  if (call.begun) {
-    this->crash_watch.Survived(call.fingerprint);
+  if (call.accepted) {
+    this->crash_detector.Survived(call.fingerprint);
   }
   if (call.failed_status) {
     const bool ran = call.ran_at.count(call.engine.address) > 0;
@@ -457,12 +457,12 @@
     this->Fail(id, kGatewayTimeout, "too little time left for another engine");
     return;
   }
-  if (this->crash_watch.Quarantined(call.fingerprint)) {
+  if (this->crash_detector.Quarantined(call.fingerprint)) {
     this->RefuseQuarantined(id);
     return;
   }
   call.search->Restart(this->chooser, call.engine.Start());
-  this->Place(id);
+  this->FindSlot(id);
 }
 
 void OnlineRelay::ReleaseEngine(Call& call) {
@@ -526,7 +526,7 @@
        {"reason", reason},
        {"asked", call.search->Asks()},
        {"expected_wait_ms",
-        call.search->LeastWait().value_or(kNoWaitNamed).count()},
+        call.search->LeastWait().value_or(kUnknownWait).count()},
        {"budget_ms", this->WaitBudget(call).count()}});
   this->Finish(id, "refused", response.status);
 }
@@ -629,7 +629,7 @@
   const Duration silent = now - call.last_heard;
   const bool streaming = call.route->kind == routes::RouteKind::kStreaming;
   const Duration bound =
-      call.first_event == Time{} ? kFirstEventSilence : kGapSilence;
+      call.first_event == Time{} ? kMaxFirstEventSilence : kMaxEventGap;
   if (streaming && call.route->MayRepeat() && silent > bound) {
     this->OnBroken(id, "the engine fell silent");
   }
--- a/src/nodes/internal/operatorfront.cpp
+++ b/src/nodes/internal/operatorapi.cpp
@@ -1,4 +1,4 @@
-#include "nodes/operatorfront.h"
+#include "nodes/operatorapi.h"
 
 #include <chrono>
 #include <utility>
@@ -13,15 +13,15 @@
 
 /// Operators move on after a second without an answer to a small call.
 constexpr std::chrono::milliseconds kOperatorTime{900};
-constexpr std::chrono::milliseconds kOperatorTry{450};
+constexpr std::chrono::milliseconds kOperatorAttemptTime{450};
 
 }  // namespace
 
-OperatorFront::OperatorFront(NodeRuntime& runtime) : runtime(runtime) {
+OperatorApi::OperatorApi(NodeRuntime& runtime) : runtime(runtime) {
   this->Listen();
 }
 
-void OperatorFront::Listen() {
+void OperatorApi::Listen() {
   if (!this->runtime.options.control.has_value()) {
     return;
   }
@@ -36,7 +36,7 @@
       http::HttpServerLimits{}, std::move(handlers));
 }
 
-void OperatorFront::CallCoordination(
+void OperatorApi::CallCoordination(
     http::ExchangeId exchange, const std::string& path, std::string body,
     std::function<http::HttpResponse(const Result&, std::string)> answer) {
   // Whoever sends a large configuration waits longer for its answer; at the
@@ -44,7 +44,8 @@
   // twice before that: to the leader, and on to whoever is to obey it.
   const std::chrono::milliseconds carry = TimeToCarry(body.size());
   this->runtime.coordination->Call(
-      path, std::move(body), kOperatorTime + 2 * carry, kOperatorTry + carry,
+      path, std::move(body), kOperatorTime + 2 * carry,
+      kOperatorAttemptTime + carry,
       [this, exchange, path, begun = MonotonicNow(),
        answer = std::move(answer)](const Result& result, std::string reply) {
         const http::HttpResponse response = answer(result, std::move(reply));
@@ -57,19 +58,19 @@
       });
 }
 
-void OperatorFront::OnRequest(http::ExchangeId exchange,
-                              const http::HttpRequest& request) {
+void OperatorApi::OnRequest(http::ExchangeId exchange,
+                            const http::HttpRequest& request) {
   OperatorCall call;
   try {
     call = this->runtime.dialect.read_operator_call(request);
   } catch (const ResultError& error) {
     Log(LogLevel::kInfo, "operator_call_refused", {{"text", error.what()}});
-    this->control->Respond(exchange, Plain(kBadRequest));
+    this->control->Respond(exchange, EmptyResponse(kBadRequest));
     return;
   }
   std::visit(Overloaded{[&](const std::monostate&) {
-                          this->control->Respond(exchange,
-                                                 Plain(kNotFoundStatus));
+                          this->control->Respond(
+                              exchange, EmptyResponse(kNotFoundStatus));
                         },
                         [&](const ReplaceConfigurationCall& replace) {
                           this->OnReplace(exchange, replace);
@@ -86,18 +87,18 @@
              call);
 }
 
-void OperatorFront::OnReplace(http::ExchangeId exchange,
-                              const ReplaceConfigurationCall& call) {
+void OperatorApi::OnReplace(http::ExchangeId exchange,
+                            const ReplaceConfigurationCall& call) {
   const coordination::SubmitConfiguration command{call.version, call.text};
   this->CallCoordination(exchange, "/coordination/submit",
                          EncodeMessage(command),
                          [](const Result& result, const std::string&) {
-                           return Plain(StatusOf(result.code, kOk));
+                           return EmptyResponse(HttpStatusOf(result.code, kOk));
                          });
 }
 
 /// The leader says which version is the newest; its text mostly is here.
-void OperatorFront::OnReadConfiguration(http::ExchangeId exchange) {
+void OperatorApi::OnReadConfiguration(http::ExchangeId exchange) {
   const auto& known = this->runtime.watch->knowledge();
   this->CallCoordination(
       exchange, "/coordination/read",
@@ -105,38 +106,39 @@
       [held = known.config_version, text = known.config](
           const Result& result, const std::string& body) {
         if (!result.Ok()) {
-          return Plain(StatusOf(result.code, kOk));
+          return EmptyResponse(HttpStatusOf(result.code, kOk));
         }
         auto found = DecodeMessage<coordination::SubmitConfiguration>(body);
         if (found.version == held) {
           found.text = text;
         }
-        return found.text.empty() ? Plain(kServiceUnavailable)
-                                  : Json(found.text);
+        return found.text.empty() ? EmptyResponse(kServiceUnavailable)
+                                  : JsonResponse(found.text);
       });
 }
 
-void OperatorFront::OnEmptyStore(http::ExchangeId exchange,
-                                 const std::string& name) {
+void OperatorApi::OnEmptyStore(http::ExchangeId exchange,
+                               const std::string& name) {
   this->CallCoordination(exchange, "/coordination/empty-store",
                          EncodeMessage(coordination::EmptyStore{name}),
                          [](const Result& result, const std::string&) {
-                           return Plain(StatusOf(result.code, kOk));
+                           return EmptyResponse(HttpStatusOf(result.code, kOk));
                          });
 }
 
-void OperatorFront::OnReadStore(http::ExchangeId exchange,
-                                const std::string& name) {
+void OperatorApi::OnReadStore(http::ExchangeId exchange,
+                              const std::string& name) {
   this->CallCoordination(
       exchange, "/coordination/read-store",
       EncodeMessage(coordination::ReadQuery{name}),
       [this](const Result& result, const std::string& body) {
         if (!result.Ok()) {
-          return Plain(StatusOf(result.code, kOk));
+          return EmptyResponse(HttpStatusOf(result.code, kOk));
         }
         const auto state = DecodeMessage<coordination::StoreState>(body);
-        return state.leaving ? Json(this->runtime.dialect.write_store(state))
-                             : Plain(kNotFoundStatus);
+        return state.leaving
+                   ? JsonResponse(this->runtime.dialect.write_store(state))
+                   : EmptyResponse(kNotFoundStatus);
       });
 }
 
--- a/src/nodes/internal/ownedengine.cpp
+++ b/src/nodes/internal/ownedengine.cpp
@@ -10,7 +10,7 @@
     list.push_back({{"address", engine.address},
                     {"engine", engine.id},
                     {"service", engine.service},
-                    {"beside", engine.beside},
+                    {"beside", engine.same_vm},
                     {"open", engine.open},
                     {"owned_ms", engine.owned.count() / 1000},
                     {"slots", engine.load.slots},
--- a/src/nodes/internal/plainresponses.cpp
+++ b/src/nodes/internal/plainresponses.cpp
@@ -4,7 +4,7 @@
 
 namespace papayarack::nodes {
 
-http::HttpResponse Plain(int status) {
+http::HttpResponse EmptyResponse(int status) {
   http::HttpResponse response;
   response.status = status;
   if (status == kServiceUnavailable || status == kTooMany) {
@@ -13,14 +13,14 @@
   return response;
 }
 
-http::HttpResponse Json(std::string body) {
+http::HttpResponse JsonResponse(std::string body) {
   http::HttpResponse response;
   response.headers.Add("Content-Type", "application/json");
   response.body = std::move(body);
   return response;
 }
 
-int StatusOf(ResultCode code, int success) {
+int HttpStatusOf(ResultCode code, int success) {
   switch (code) {
     case ResultCode::kOk:
       return success;
--- a/src/nodes/internal/startupqueue.cpp
+++ b/src/nodes/internal/startupqueue.cpp
@@ -10,8 +10,7 @@
                          Time now) {
   const std::size_t size = request.body.size();
   if (now - this->started > kStartTime ||
-      this->waiting.size() >= kMostRequests ||
-      this->bytes + size > kMostBytes) {
+      this->waiting.size() >= kMaxRequests || this->bytes + size > kMaxBytes) {
     return false;
   }
   this->bytes += size;
@@ -27,7 +26,7 @@
 std::vector<EarlyRequest> StartupQueue::TakeExpired(Time now) {
   const auto first_fresh =
       std::ranges::find_if(this->waiting, [now](const EarlyRequest& early) {
-        return early.arrived + kLongestHold > now;
+        return early.arrived + kMaxWait > now;
       });
   std::vector<EarlyRequest> expired(
       std::make_move_iterator(this->waiting.begin()),
--- a/src/nodes/logthrottle.h
+++ b/src/nodes/logthrottle.h
@@ -15,7 +15,7 @@
  public:
   /// Least time between two lines: of a list that is read twice a second and
   /// is wrong in another way each time, one line in sixty readings.
-  static constexpr std::chrono::seconds kLeastPause{30};
+  static constexpr std::chrono::seconds kMinInterval{30};
 
   /// Whether to log that `text` holds now: it is not what was logged last, and
   /// that was not just now. An empty `text` says that all is well, after which
--- a/src/nodes/loopwatch.h
+++ b/src/nodes/loopdelaymonitor.h
@@ -1,5 +1,5 @@
-#ifndef PAPAYARACK_NODES_LOOPWATCH_H_
-#define PAPAYARACK_NODES_LOOPWATCH_H_
+#ifndef PAPAYARACK_NODES_LOOPDELAYMONITOR_H_
+#define PAPAYARACK_NODES_LOOPDELAYMONITOR_H_
 
 #include <asio.hpp>
 #include <chrono>
@@ -12,19 +12,19 @@
 /// Tells a loop that stands still from one that has nothing to do: logs
 /// `loop_delayed` and counts it when a timer is taken late. Thread safety:
 /// none, the loop's thread.
-class LoopWatch {
+class LoopDelayMonitor {
  public:
   /// The loop is looked at this often.
-  static constexpr std::chrono::milliseconds kEvery{100};
+  static constexpr std::chrono::milliseconds kInterval{100};
   /// A delay from here on is logged: a third of the shortest election.
   static constexpr std::chrono::milliseconds kLongDelay{200};
 
   /// Precondition: both outlive the watch. Looks only while the loop runs.
-  LoopWatch(asio::io_context& context, Metrics& metrics);
+  LoopDelayMonitor(asio::io_context& context, Metrics& metrics);
 
   /// Takes one look: the timer came `delay` late, and the loop's thread used
   /// `used` of the processor since it was set.
-  void Look(Duration delay, std::chrono::nanoseconds used);
+  void Check(Duration delay, std::chrono::nanoseconds used);
 
  private:
   void Wait();
@@ -35,4 +35,4 @@
 
 }  // namespace papayarack::nodes
 
-#endif  // PAPAYARACK_NODES_LOOPWATCH_H_
+#endif  // PAPAYARACK_NODES_LOOPDELAYMONITOR_H_
--- a/src/nodes/noderuntime.h
+++ b/src/nodes/noderuntime.h
@@ -14,10 +14,10 @@
 #include "http/httpclient.h"
 #include "http/httpserver.h"
 #include "nodes/dialect.h"
-#include "nodes/listpace.h"
+#include "nodes/listpolling.h"
 #include "nodes/listreading.h"
 #include "nodes/logthrottle.h"
-#include "nodes/loopwatch.h"
+#include "nodes/loopdelaymonitor.h"
 #include "nodes/nodeoptions.h"
 #include "nodes/ownedengine.h"
 #include "routes/routetable.h"
@@ -71,17 +71,17 @@
   std::function<std::vector<OwnedEngineState>()> owned_engines;
   coordination::LeaderSearch job_search;  ///< Of the job group.
   std::unique_ptr<coordination::GroupClient> jobs;
-  ListReader list_reader;
+  ListReaderState list_reader;
 
  private:
   void OpenFiles();
   bool IsSeed() const;
-  void TakeRoutes();
-  void SearchInList();
-  void Search();
+  void LoadRoutes();
+  void ScheduleLeaderSearch();
+  void SearchLeader();
   void WatchBacklog();
   void ServeMetrics();
-  http::HttpResponse Show(std::string_view path);
+  http::HttpResponse HandleMetricsRequest(std::string_view path);
   /// Fingerprints that this process knows of, as a JSON list.
   std::string QuarantineList() const;
 
@@ -89,12 +89,12 @@
   std::unique_ptr<http::HttpServer> metrics_server;
   std::unique_ptr<http::HttpClient> list_client;
   std::unique_ptr<asio::steady_timer> search_timer;
-  SearchPace search_pace;
+  SearchBackoff search_backoff;
   /// Of this process's searches, whose readings are shorter than others.
-  ListReader search_reader;
+  ListReaderState search_reader;
   std::unique_ptr<asio::steady_timer> backlog_timer;
   transport::BacklogWatch backlog;
-  LoopWatch loop_watch{this->context, this->metrics};
+  LoopDelayMonitor loop_delay_monitor{this->context, this->metrics};
 };
 
 }  // namespace papayarack::nodes
--- a/src/nodes/onlinerelay.h
+++ b/src/nodes/onlinerelay.h
@@ -17,7 +17,7 @@
 #include "http/eventsplitter.h"
 #include "http/httpclient.h"
 #include "http/httpserver.h"
-#include "nodes/crashwatch.h"
+#include "nodes/crashdetector.h"
 #include "nodes/dialect.h"
 #include "nodes/slotmessages.h"
 #include "placement/enginechooser.h"
@@ -28,7 +28,7 @@
 namespace papayarack::nodes {
 
 /// The process that a relay works for.
-struct RelayPlace {
+struct RelayLocation {
   std::string name;
   std::string zone;
 };
@@ -43,7 +43,7 @@
   /// Precondition: what is referred to outlives the relay.
   OnlineRelay(asio::io_context& context, http::HttpServer*& front,
               transport::PeerClient& peers, coordination::FleetWatch& watch,
-              const Dialect& dialect, Metrics& metrics, RelayPlace place,
+              const Dialect& dialect, Metrics& metrics, RelayLocation place,
               std::uint64_t seed);
   ~OnlineRelay();
   OnlineRelay(const OnlineRelay&) = delete;
@@ -84,7 +84,7 @@
     Time last_heard{};
     bool head_sent = false;
     bool is_events = false;
-    bool begun = false;  ///< The engine of this attempt did not refuse it.
+    bool accepted = false;  ///< The engine of this attempt did not refuse it.
     bool failed_status = false;
     int status = 0;
     std::uint64_t last_event = 0;
@@ -95,18 +95,18 @@
   };
   using CallId = std::uint64_t;
 
-  void Place(CallId id);
-  void Do(CallId id, const placement::AskGate& step);
-  void Do(CallId id, const placement::SendUngated& step);
-  void Do(CallId id, const placement::NoSlot& step);
+  void FindSlot(CallId id);
+  void Perform(CallId id, const placement::AskGate& step);
+  void Perform(CallId id, const placement::SendUngated& step);
+  void Perform(CallId id, const placement::NoSlot& step);
   void Ask(CallId id, std::uint32_t wait_ms);
   void OnSlotReply(CallId id, std::uint64_t attempt, const std::string& bytes);
   void OnAskFailed(CallId id, std::uint64_t attempt);
   void Send(CallId id);
   void OnHead(CallId id, std::uint64_t attempt, const http::HttpHead& head);
-  void PassHead(Call& call, const http::HttpHead& head);
+  void ForwardHead(Call& call, const http::HttpHead& head);
   void OnBody(CallId id, std::uint64_t attempt, std::string_view bytes);
-  bool PassEvents(Call& call, std::string_view bytes);
+  bool ForwardEvents(Call& call, std::string_view bytes);
   void OnEnd(CallId id, std::uint64_t attempt, http::HttpEnd end);
   /// The run ended without a whole answer; it may have run.
   void OnBroken(CallId id, const char* reason);
@@ -129,7 +129,7 @@
   std::string own_name;
   std::string own_zone;
   http::HttpClient engines;
-  CrashWatch crash_watch;
+  CrashDetector crash_detector;
   placement::EngineChooser chooser;
   std::mt19937_64 random;
   std::unordered_map<CallId, Call> calls;
--- a/src/nodes/operatorfront.h
+++ b/src/nodes/operatorapi.h
@@ -1,5 +1,5 @@
-#ifndef PAPAYARACK_NODES_OPERATORFRONT_H_
-#define PAPAYARACK_NODES_OPERATORFRONT_H_
+#ifndef PAPAYARACK_NODES_OPERATORAPI_H_
+#define PAPAYARACK_NODES_OPERATORAPI_H_
 
 #include <functional>
 #include <memory>
@@ -13,11 +13,11 @@
 
 /// Answers operators' calls with the coordination group's word. Thread safety:
 /// none, the loop's thread.
-class OperatorFront {
+class OperatorApi {
  public:
   /// Listens at once where the options name an address for it. Precondition:
   /// `runtime` outlives it, and watches before the first call comes.
-  explicit OperatorFront(NodeRuntime& runtime);
+  explicit OperatorApi(NodeRuntime& runtime);
 
  private:
   void Listen();
@@ -37,4 +37,4 @@
 
 }  // namespace papayarack::nodes
 
-#endif  // PAPAYARACK_NODES_OPERATORFRONT_H_
+#endif  // PAPAYARACK_NODES_OPERATORAPI_H_
--- a/src/nodes/ownedengine.h
+++ b/src/nodes/ownedengine.h
@@ -15,9 +15,9 @@
   std::string address;
   std::string id;  ///< Empty while it takes no new work.
   std::string service;
-  bool beside = false;  ///< Whether the owner runs on the engine's VM.
-  bool open = false;    ///< Whether slots are given.
-  Duration owned{0};    ///< For how long.
+  bool same_vm = false;  ///< Whether the owner runs on the engine's VM.
+  bool open = false;     ///< Whether slots are given.
+  Duration owned{0};     ///< For how long.
   slots::SlotLoad load;
 };
 
--- a/src/nodes/heldasks.h
+++ b/src/nodes/pendingacquirequeue.h
@@ -1,5 +1,5 @@
-#ifndef PAPAYARACK_NODES_HELDASKS_H_
-#define PAPAYARACK_NODES_HELDASKS_H_
+#ifndef PAPAYARACK_NODES_PENDINGACQUIREQUEUE_H_
+#define PAPAYARACK_NODES_PENDINGACQUIREQUEUE_H_
 
 #include <chrono>
 #include <vector>
@@ -11,9 +11,9 @@
 namespace papayarack::nodes {
 
 /// An ask for a slot that came before its engine's owner could answer it.
-struct HeldAsk {
+struct PendingAcquire {
   transport::StreamId stream = 0;
-  AskSlot ask;
+  AcquireSlot ask;
   /// Its wait counts from here, not from when it is let on.
   Time asked{};
 };
@@ -27,28 +27,28 @@
 /// so asks wait for it; when it does not come, whoever asks is told that nobody
 /// owns the engine yet, and uses a share of its slots. Bounded in number.
 /// Thread safety: none.
-class HeldAsks {
+class PendingAcquireQueue {
  public:
   /// Takes an ask; false when too many wait.
-  bool Hold(transport::StreamId stream, const AskSlot& ask, Time now);
+  bool Offer(transport::StreamId stream, const AcquireSlot& ask, Time now);
   /// Everything that waits, oldest first.
-  std::vector<HeldAsk> TakeAll();
+  std::vector<PendingAcquire> TakeAll();
   /// What has waited long enough, oldest first.
-  std::vector<HeldAsk> TakeExpired(Time now);
+  std::vector<PendingAcquire> TakeExpired(Time now);
   /// Its requester is gone. True when it waited here.
   bool Remove(transport::StreamId stream);
   bool Empty() const { return this->waiting.empty(); }
 
   /// Thirty round trips within a region; half of the time after which whoever
   /// asks takes the owner for frozen.
-  static constexpr std::chrono::milliseconds kLongestHold{60};
+  static constexpr std::chrono::milliseconds kMaxWait{60};
   /// Far more than one engine's callers ask in that time.
-  static constexpr std::size_t kMostHeld = 256;
+  static constexpr std::size_t kMaxPending = 256;
 
  private:
-  std::vector<HeldAsk> waiting;
+  std::vector<PendingAcquire> waiting;
 };
 
 }  // namespace papayarack::nodes
 
-#endif  // PAPAYARACK_NODES_HELDASKS_H_
+#endif  // PAPAYARACK_NODES_PENDINGACQUIREQUEUE_H_
--- a/src/nodes/plainresponses.h
+++ b/src/nodes/plainresponses.h
@@ -23,10 +23,10 @@
 
 /// An answer without a body; a refusal says when to come back. Thread safety of
 /// these functions: any thread.
-http::HttpResponse Plain(int status);
-http::HttpResponse Json(std::string body);
+http::HttpResponse EmptyResponse(int status);
+http::HttpResponse JsonResponse(std::string body);
 /// The status for a call whose answer is only its result.
-int StatusOf(ResultCode code, int success);
+int HttpStatusOf(ResultCode code, int success);
 
 }  // namespace papayarack::nodes
 
--- a/src/nodes/slotmessages.h
+++ b/src/nodes/slotmessages.h
@@ -12,7 +12,7 @@
 /// connection.
 namespace papayarack::nodes {
 
-struct AskSlot {
+struct AcquireSlot {
   std::string request;  ///< Id of the request, for the log.
   std::string engine_id;
   std::int32_t priority = 0;
--- a/src/nodes/startupqueue.h
+++ b/src/nodes/startupqueue.h
@@ -45,10 +45,10 @@
   /// election after a start takes 150 to 300 ms, a second one as long again.
   static constexpr std::chrono::milliseconds kStartTime{1000};
   /// Within a first-token target, with time left for the run.
-  static constexpr std::chrono::milliseconds kLongestHold{200};
+  static constexpr std::chrono::milliseconds kMaxWait{200};
   /// Far more than come to one entry in that time.
-  static constexpr std::size_t kMostRequests = 256;
-  static constexpr std::size_t kMostBytes = 4U << 20U;
+  static constexpr std::size_t kMaxRequests = 256;
+  static constexpr std::size_t kMaxBytes = 4U << 20U;
 
  private:
   Time started;
--- a/src/nodes/tests/batchrunner_tests.cpp
+++ b/src/nodes/tests/batchrunner_tests.cpp
@@ -21,7 +21,7 @@
 
 constexpr milliseconds kTick{5};
 /// Far longer than anything here takes.
-constexpr milliseconds kPatience{8000};
+constexpr milliseconds kTimeout{8000};
 constexpr milliseconds kAmpleTime{60000};
 
 /// An engine whose answer to each item is one event, whole or not ended yet.
@@ -172,15 +172,15 @@
 }
 
 /// A runner between an engine and a leader.
-struct Bench {
-  explicit Bench(std::uint32_t slots) {
+struct RunnerFixture {
+  explicit RunnerFixture(std::uint32_t slots) {
     this->desk.SetSlots(slots);
     this->runner.SetEngine("e");
     this->runner.SetRoutes(MakeBatchTable());
   }
 
   bool RunUntil(const std::function<bool()>& done,
-                milliseconds time = kPatience) {
+                milliseconds time = kTimeout) {
     const Time until = MonotonicNow() + time;
     while (!done() && MonotonicNow() < until) {
       this->context.run_for(kTick);
@@ -234,44 +234,46 @@
 TEST_CASE("reports are bounded in size, and in pace while they fail") {
   constexpr std::uint32_t kItems = 6;
   constexpr std::size_t kRefused = 4;
-  Bench bench(kItems);
-  bench.leader.on_pull = [&](Leader::Pull& pull) {
-    if (bench.leader.pulls.size() == 1) {
+  RunnerFixture fixture(kItems);
+  fixture.leader.on_pull = [&](Leader::Pull& pull) {
+    if (fixture.leader.pulls.size() == 1) {
       batches::PulledItems items;
       for (std::uint32_t i = 0; i < kItems; ++i) {
         items.items.push_back(MakeItem(std::to_string(i), kAmpleTime));
       }
-      bench.leader.Answer(pull, items);
+      fixture.leader.Answer(pull, items);
     }
   };
-  const auto all_listed = [&] { return bench.leader.listed.size() == kItems; };
+  const auto all_listed = [&] {
+    return fixture.leader.listed.size() == kItems;
+  };
   /// What a report has besides the texts.
   constexpr std::size_t kMargin = 1000;
   SECTION("several texts, one after the other") {
-    bench.engine.text = std::string(BatchRunner::kMostReportBytes / 3, 't');
-    bench.leader.reports_to_refuse = kRefused;
-    REQUIRE(bench.RunUntil(all_listed));
-    for (const Leader::Report& report : bench.leader.reports) {
-      CHECK(report.bytes <= BatchRunner::kMostReportBytes + kMargin);
+    fixture.engine.text = std::string(BatchRunner::kMaxReportBytes / 3, 't');
+    fixture.leader.reports_to_refuse = kRefused;
+    REQUIRE(fixture.RunUntil(all_listed));
+    for (const Leader::Report& report : fixture.leader.reports) {
+      CHECK(report.bytes <= BatchRunner::kMaxReportBytes + kMargin);
     }
-    milliseconds least = BatchRunner::kReportPause;
+    milliseconds least = BatchRunner::kMinReportBackoff;
     for (std::size_t i = 1; i <= kRefused; ++i) {
-      CHECK(bench.leader.reports[i].at - bench.leader.reports[i - 1].at >=
+      CHECK(fixture.leader.reports[i].at - fixture.leader.reports[i - 1].at >=
             least);
-      least = std::min(2 * least, BatchRunner::kLongestReportPause);
+      least = std::min(2 * least, BatchRunner::kMaxReportBackoff);
     }
-    CHECK(bench.RunUntil([&] { return bench.runner.Held() == 0; }));
+    CHECK(fixture.RunUntil([&] { return fixture.runner.HeldCount() == 0; }));
   }
   SECTION("a text larger than the bound goes alone") {
-    bench.engine.text = std::string(BatchRunner::kMostReportBytes + 1, 't');
-    REQUIRE(bench.RunUntil(all_listed));
-    for (const Leader::Report& report : bench.leader.reports) {
+    fixture.engine.text = std::string(BatchRunner::kMaxReportBytes + 1, 't');
+    REQUIRE(fixture.RunUntil(all_listed));
+    for (const Leader::Report& report : fixture.leader.reports) {
       CHECK(report.items.size() == 1);
     }
   }
   SECTION("nothing waits when they succeed") {
     const Time start = MonotonicNow();
-    REQUIRE(bench.RunUntil(all_listed));
+    REQUIRE(fixture.RunUntil(all_listed));
     CHECK(MonotonicNow() - start < milliseconds(1000));
   }
 }
@@ -280,21 +282,21 @@
 // costs it as much as the first.
 TEST_CASE("a report is not sent again while its leader is there") {
   constexpr milliseconds kLateAnswer{3500};
-  Bench bench(1);
-  bench.leader.holds_reports = true;
-  bench.leader.on_pull = [&](Leader::Pull& pull) {
+  RunnerFixture fixture(1);
+  fixture.leader.holds_reports = true;
+  fixture.leader.on_pull = [&](Leader::Pull& pull) {
     batches::PulledItems items;
-    if (bench.leader.pulls.size() == 1) {
+    if (fixture.leader.pulls.size() == 1) {
       items.items = {MakeItem("1", kAmpleTime)};
     }
-    bench.leader.Answer(pull, items);
+    fixture.leader.Answer(pull, items);
   };
-  REQUIRE(bench.RunUntil([&] { return !bench.leader.reports.empty(); }));
-  bench.RunFor(kLateAnswer);
-  CHECK(bench.leader.reports.size() == 1);
-  bench.leader.AnswerReports();
-  CHECK(bench.RunUntil([&] { return bench.runner.Held() == 0; }));
-  CHECK(bench.leader.reports.size() == 1);
+  REQUIRE(fixture.RunUntil([&] { return !fixture.leader.reports.empty(); }));
+  fixture.RunFor(kLateAnswer);
+  CHECK(fixture.leader.reports.size() == 1);
+  fixture.leader.AnswerReports();
+  CHECK(fixture.RunUntil([&] { return fixture.runner.HeldCount() == 0; }));
+  CHECK(fixture.leader.reports.size() == 1);
 }
 
 // Symptom: items that were handed back begin from nothing at the next gate, and
@@ -302,47 +304,47 @@
 // pull that carries it is refused, or given up for a newer one. Cause: what a
 // pull carries was forgotten when it left, not when it was answered.
 TEST_CASE("what a pull hands back goes with the next one unless it arrived") {
-  Bench bench(1);
-  bench.engine.ends = false;
+  RunnerFixture fixture(1);
+  fixture.engine.ends = false;
   const milliseconds late(-1000);
-  bench.leader.on_pull = [&](Leader::Pull& pull) {
-    if (bench.leader.pulls.size() == 1) {
-      bench.leader.Answer(pull, {{MakeItem("1", late)}, {}});
+  fixture.leader.on_pull = [&](Leader::Pull& pull) {
+    if (fixture.leader.pulls.size() == 1) {
+      fixture.leader.Answer(pull, {{MakeItem("1", late)}, {}});
     }
   };
-  REQUIRE(bench.RunUntil([&] { return bench.engine.asked == 1; }));
-  bench.RunFor(milliseconds(50));
+  REQUIRE(fixture.RunUntil([&] { return fixture.engine.asked == 1; }));
+  fixture.RunFor(milliseconds(50));
   // The online request takes the slot; the late item goes back 0.4 s later.
-  bench.Occupy(1);
+  fixture.Occupy(1);
   const auto handed_back = [&] {
-    return !bench.leader.pulls.back().asked.returned.empty();
+    return !fixture.leader.pulls.back().asked.returned.empty();
   };
   const auto check = [&] {
-    const auto& returned = bench.leader.pulls.back().asked.returned;
+    const auto& returned = fixture.leader.pulls.back().asked.returned;
     REQUIRE(returned.size() == 1);
     CHECK(returned.front().item == batches::ItemRef{"b", "1"});
     CHECK(returned.front().partial.text == "made");
     CHECK(returned.front().partial.last_event == 1);
   };
-  REQUIRE(bench.RunUntil(handed_back));
+  REQUIRE(fixture.RunUntil(handed_back));
   check();
-  const std::size_t pulls = bench.leader.pulls.size();
-  const auto next_pull = [&] { return bench.leader.pulls.size() > pulls; };
+  const std::size_t pulls = fixture.leader.pulls.size();
+  const auto next_pull = [&] { return fixture.leader.pulls.size() > pulls; };
   SECTION("after a refusal") {
-    bench.leader.Refuse(bench.leader.pulls.back());
-    REQUIRE(bench.RunUntil(next_pull));
+    fixture.leader.Refuse(fixture.leader.pulls.back());
+    REQUIRE(fixture.RunUntil(next_pull));
     check();
   }
   SECTION("after it was given up for a newer one") {
-    bench.Leave(1);
-    REQUIRE(bench.RunUntil(next_pull));
+    fixture.Leave(1);
+    REQUIRE(fixture.RunUntil(next_pull));
     check();
-    CHECK(bench.leader.pulls.back().asked.room == 1);
+    CHECK(fixture.leader.pulls.back().asked.room == 1);
   }
   SECTION("but not once it was answered") {
-    bench.leader.Answer(bench.leader.pulls.back(), {});
-    REQUIRE(bench.RunUntil(next_pull));
-    CHECK(bench.leader.pulls.back().asked.returned.empty());
+    fixture.leader.Answer(fixture.leader.pulls.back(), {});
+    REQUIRE(fixture.RunUntil(next_pull));
+    CHECK(fixture.leader.pulls.back().asked.returned.empty());
   }
 }
 
@@ -351,27 +353,27 @@
 TEST_CASE("what a pull hands back is bounded") {
   constexpr std::uint32_t kItems = 4;
   constexpr std::size_t kTextBytes = 100'000;
-  Bench bench(kItems);
-  bench.engine.ends = false;
-  bench.engine.text = std::string(kTextBytes, 't');
-  bench.leader.on_pull = [&](Leader::Pull& pull) {
+  RunnerFixture fixture(kItems);
+  fixture.engine.ends = false;
+  fixture.engine.text = std::string(kTextBytes, 't');
+  fixture.leader.on_pull = [&](Leader::Pull& pull) {
     batches::PulledItems items;
-    if (bench.leader.pulls.size() == 1) {
+    if (fixture.leader.pulls.size() == 1) {
       for (std::uint32_t i = 0; i < kItems; ++i) {
         items.items.push_back(MakeItem(std::to_string(i), kAmpleTime));
       }
     }
-    bench.leader.Answer(pull, items);
+    fixture.leader.Answer(pull, items);
   };
-  REQUIRE(bench.RunUntil([&] { return bench.engine.asked == kItems; }));
-  bench.RunFor(milliseconds(100));
-  bench.runner.Stop();
+  REQUIRE(fixture.RunUntil([&] { return fixture.engine.asked == kItems; }));
+  fixture.RunFor(milliseconds(100));
+  fixture.runner.Stop();
   std::set<std::string> returned;
   std::size_t looked_at = 0;
-  REQUIRE(bench.RunUntil([&] {
-    for (; looked_at < bench.leader.pulls.size(); ++looked_at) {
-      const batches::PullItems& pull = bench.leader.pulls[looked_at].asked;
-      CHECK(pull.returned.size() <= BatchRunner::kMostReturnBytes / kTextBytes);
+  REQUIRE(fixture.RunUntil([&] {
+    for (; looked_at < fixture.leader.pulls.size(); ++looked_at) {
+      const batches::PullItems& pull = fixture.leader.pulls[looked_at].asked;
+      CHECK(pull.returned.size() <= BatchRunner::kMaxReturnBytes / kTextBytes);
       for (const batches::ReturnedItem& item : pull.returned) {
         CHECK(item.partial.text.size() == kTextBytes);
         returned.insert(item.item.item);
@@ -382,8 +384,8 @@
     }
     return returned.size() == kItems;
   }));
-  REQUIRE(bench.RunUntil(
-      [&] { return bench.leader.pulls.back().asked.returned.empty(); }));
+  REQUIRE(fixture.RunUntil(
+      [&] { return fixture.leader.pulls.back().asked.returned.empty(); }));
 }
 
 // Symptom: an item is run from its beginning though this gate has a part of
@@ -392,14 +394,14 @@
 // brings it here again. Cause: both were kept, the item and its return.
 TEST_CASE("an item that comes back before it was handed back is held once") {
   const milliseconds late(-1000);
-  Bench bench(2);
-  bench.engine.ends = false;
-  bench.engine.text = std::string(BatchRunner::kMostReturnBytes, 't');
+  RunnerFixture fixture(2);
+  fixture.engine.ends = false;
+  fixture.engine.text = std::string(BatchRunner::kMaxReturnBytes, 't');
   bool came_back = false;
   std::vector<batches::PullItems> after;
-  bench.leader.on_pull = [&](Leader::Pull& pull) {
+  fixture.leader.on_pull = [&](Leader::Pull& pull) {
     batches::PulledItems items;
-    if (bench.leader.pulls.size() == 1) {
+    if (fixture.leader.pulls.size() == 1) {
       items.items = {MakeItem("1", late), MakeItem("2", late)};
     } else if (came_back) {
       after.push_back(pull.asked);
@@ -407,16 +409,16 @@
       came_back = true;
       items.items = {MakeItem("2", late)};
     }
-    bench.leader.Answer(pull, items);
+    fixture.leader.Answer(pull, items);
   };
-  REQUIRE(bench.RunUntil([&] { return bench.engine.asked == 2; }));
-  bench.RunFor(milliseconds(300));
-  bench.runner.Stop();
-  REQUIRE(bench.RunUntil([&] { return !after.empty(); }));
+  REQUIRE(fixture.RunUntil([&] { return fixture.engine.asked == 2; }));
+  fixture.RunFor(milliseconds(300));
+  fixture.runner.Stop();
+  REQUIRE(fixture.RunUntil([&] { return !after.empty(); }));
   CHECK(after.front().returned.empty());
   CHECK(after.front().holding == std::vector<batches::ItemRef>{{"b", "2"}});
-  REQUIRE(bench.RunUntil([&] { return !after.back().returned.empty(); }));
-  CHECK(after.back().returned.front().partial.text == bench.engine.text);
+  REQUIRE(fixture.RunUntil([&] { return !after.back().returned.empty(); }));
+  CHECK(after.back().returned.front().partial.text == fixture.engine.text);
 }
 
 // Symptom: while online requests come and go, items reach their gates late or
@@ -427,36 +429,36 @@
 // much was on its way.
 TEST_CASE("a pull whose answer may be on its way is not given up") {
   constexpr std::uint32_t kSlots = 4;
-  Bench bench(kSlots);
+  RunnerFixture fixture(kSlots);
   const auto pulls = [&]() -> std::vector<Leader::Pull>& {
-    return bench.leader.pulls;
+    return fixture.leader.pulls;
   };
   const auto pulled = [&](std::size_t count) {
-    return bench.RunUntil([&, count] { return pulls().size() >= count; });
+    return fixture.RunUntil([&, count] { return pulls().size() >= count; });
   };
   REQUIRE(pulled(1));
   REQUIRE(pulls()[0].asked.room == kSlots);
   const auto hand_out = [&](std::size_t pull) {
-    bench.leader.Answer(pulls()[pull], {{MakeItem("1", kAmpleTime)}, {}});
-    CHECK(bench.RunUntil([&] { return bench.leader.listed.size() == 1; }));
+    fixture.leader.Answer(pulls()[pull], {{MakeItem("1", kAmpleTime)}, {}});
+    CHECK(fixture.RunUntil([&] { return fixture.leader.listed.size() == 1; }));
   };
   SECTION("because room shrank just now") {
-    bench.Occupy(1);
-    bench.RunFor(BatchRunner::kAnswerTime / 2);
+    fixture.Occupy(1);
+    fixture.RunFor(BatchRunner::kAnswerTime / 2);
     CHECK_FALSE(pulls()[0].cancelled);
     CHECK(pulls().size() == 1);
     hand_out(0);
   }
   SECTION("because room grew, which a further pull can fill") {
-    bench.Occupy(1);
-    bench.Leave(1);
-    bench.desk.SetSlots(kSlots + 2);
-    bench.RunFor(3 * BatchRunner::kAnswerTime);
+    fixture.Occupy(1);
+    fixture.Leave(1);
+    fixture.desk.SetSlots(kSlots + 2);
+    fixture.RunFor(3 * BatchRunner::kAnswerTime);
     CHECK_FALSE(pulls()[0].cancelled);
     hand_out(0);
   }
   SECTION("though the leader, which may hold it, hears of less room soon") {
-    bench.Occupy(1);
+    fixture.Occupy(1);
     REQUIRE(pulled(2));
     CHECK(pulls()[1].at - pulls()[0].at > BatchRunner::kAnswerTime / 2);
     CHECK(pulls()[1].at - pulls()[0].at < 3 * BatchRunner::kAnswerTime);
@@ -465,15 +467,15 @@
   SECTION("while room goes up and down by one all the time") {
     constexpr auto kLate = BatchRunner::kAnswerTime / 2;
     bool occupied = false;
-    const bool arrived = bench.RunUntil([&] {
-      occupied ? bench.Leave(1) : bench.Occupy(1);
+    const bool arrived = fixture.RunUntil([&] {
+      occupied ? fixture.Leave(1) : fixture.Occupy(1);
       occupied = !occupied;
       for (Leader::Pull& pull : pulls()) {
         if (!pull.answered && MonotonicNow() - pull.at >= kLate) {
-          bench.leader.Answer(pull, {{MakeItem("1", kAmpleTime)}, {}});
+          fixture.leader.Answer(pull, {{MakeItem("1", kAmpleTime)}, {}});
         }
       }
-      return bench.engine.asked > 0;
+      return fixture.engine.asked > 0;
     });
     CHECK(arrived);
   }
@@ -481,17 +483,17 @@
     // Each answer takes longer than the first pull may, and room shrinks at
     // each pull.
     constexpr auto kLate = 3 * BatchRunner::kAnswerTime;
-    const bool arrived = bench.RunUntil([&] {
-      const std::uint32_t room = bench.desk.BatchRoom();
+    const bool arrived = fixture.RunUntil([&] {
+      const std::uint32_t room = fixture.desk.BatchRoom();
       if (room > 1 && pulls().back().asked.room == room) {
-        bench.Occupy(1);
+        fixture.Occupy(1);
       }
       for (Leader::Pull& pull : pulls()) {
         if (!pull.answered && MonotonicNow() - pull.at >= kLate) {
-          bench.leader.Answer(pull, {{MakeItem("1", kAmpleTime)}, {}});
+          fixture.leader.Answer(pull, {{MakeItem("1", kAmpleTime)}, {}});
         }
       }
-      return bench.engine.asked > 0;
+      return fixture.engine.asked > 0;
     });
     CHECK(arrived);
     CHECK(pulls()[0].cancelled);
@@ -502,45 +504,45 @@
 // engine of a gate stops answering while items run and wait there. Cause: the
 // gate kept what it had, for an engine that the list still named.
 TEST_CASE("what an engine that is gone held goes to others at once") {
-  Bench bench(2);
-  bench.engine.ends = false;
-  bench.leader.on_pull = [&](Leader::Pull& pull) {
-    if (bench.leader.pulls.size() == 1) {
-      bench.leader.Answer(
+  RunnerFixture fixture(2);
+  fixture.engine.ends = false;
+  fixture.leader.on_pull = [&](Leader::Pull& pull) {
+    if (fixture.leader.pulls.size() == 1) {
+      fixture.leader.Answer(
           pull, {{MakeItem("1", kAmpleTime), MakeItem("2", kAmpleTime)}, {}});
     }
   };
-  REQUIRE(bench.RunUntil([&] { return bench.engine.asked == 2; }));
-  bench.RunFor(milliseconds(50));
-  bench.runner.SetEngine("");
-  bench.runner.HandBackAll();
-  CHECK(bench.runner.Held() == 0);
-  REQUIRE(bench.RunUntil(
-      [&] { return bench.leader.pulls.back().asked.returned.size() == 2; }));
-  const batches::PullItems& pull = bench.leader.pulls.back().asked;
+  REQUIRE(fixture.RunUntil([&] { return fixture.engine.asked == 2; }));
+  fixture.RunFor(milliseconds(50));
+  fixture.runner.SetEngine("");
+  fixture.runner.HandBackAll();
+  CHECK(fixture.runner.HeldCount() == 0);
+  REQUIRE(fixture.RunUntil(
+      [&] { return fixture.leader.pulls.back().asked.returned.size() == 2; }));
+  const batches::PullItems& pull = fixture.leader.pulls.back().asked;
   CHECK(pull.room == 0);
   CHECK(pull.returned[0].partial.last_event == 1);
   SECTION("and a gate that is not leaving takes items again later") {
-    bench.leader.Answer(bench.leader.pulls.back(), {});
-    bench.runner.SetEngine("e");
-    REQUIRE(bench.RunUntil(
-        [&] { return bench.leader.pulls.back().asked.room == 2; }));
+    fixture.leader.Answer(fixture.leader.pulls.back(), {});
+    fixture.runner.SetEngine("e");
+    REQUIRE(fixture.RunUntil(
+        [&] { return fixture.leader.pulls.back().asked.room == 2; }));
   }
 }
 
 // An answer to a pull that asked for nothing carries no items, so nothing is
 // lost with it, and the leader would hold it for a second though there is room.
 TEST_CASE("a pull without room is given up as soon as there is room") {
-  Bench bench(1);
-  bench.Occupy(1);
-  REQUIRE(bench.RunUntil([&] { return bench.leader.pulls.size() == 1; }));
-  REQUIRE(bench.leader.pulls[0].asked.room == 0);
-  bench.RunFor(milliseconds(50));
+  RunnerFixture fixture(1);
+  fixture.Occupy(1);
+  REQUIRE(fixture.RunUntil([&] { return fixture.leader.pulls.size() == 1; }));
+  REQUIRE(fixture.leader.pulls[0].asked.room == 0);
+  fixture.RunFor(milliseconds(50));
   const Time start = MonotonicNow();
-  bench.Leave(1);
-  REQUIRE(bench.RunUntil([&] { return bench.leader.pulls.size() == 2; }));
+  fixture.Leave(1);
+  REQUIRE(fixture.RunUntil([&] { return fixture.leader.pulls.size() == 2; }));
   CHECK(MonotonicNow() - start < BatchRunner::kAnswerTime / 2);
-  CHECK(bench.leader.pulls[1].asked.room == 1);
+  CHECK(fixture.leader.pulls[1].asked.room == 1);
 }
 
 }  // namespace papayarack::nodes
--- a/src/nodes/tests/crashwatch_tests.cpp
+++ b/src/nodes/tests/crashdetector_tests.cpp
@@ -3,7 +3,7 @@
 #include <string>
 
 #include "coordination/fleetwatch.h"
-#include "nodes/crashwatch.h"
+#include "nodes/crashdetector.h"
 #include "transport/peerclient.h"
 
 namespace papayarack::nodes {
@@ -31,7 +31,7 @@
   transport::PeerClient peers(context);
   coordination::FleetWatch fleet(context, peers, {}, {},
                                  [](const coordination::FleetChange&) {});
-  CrashWatch watch(context, fleet);
+  CrashDetector watch(context, fleet);
   const auto pause = [&context] {
     context.run_for(milliseconds(70));
     context.restart();
@@ -41,7 +41,7 @@
   SECTION("by the port that refuses, and acts on them without a leader") {
     for (int i = 0; i < kCrashes; ++i) {
       CHECK_FALSE(watch.Quarantined(kRequest));
-      watch.Broke(kRequest, "r", Gone(context));
+      watch.ConnectionBroke(kRequest, "r", Gone(context));
       pause();
     }
     CHECK(watch.Quarantined(kRequest));
@@ -56,7 +56,7 @@
     const std::string address =
         "127.0.0.1:" + std::to_string(open.local_endpoint().port());
     for (std::uint64_t i = 0; i < kCrashes; ++i) {
-      watch.Broke(kRequest, "r", {address, "up", i});
+      watch.ConnectionBroke(kRequest, "r", {address, "up", i});
       pause();
     }
     CHECK_FALSE(watch.Quarantined(kRequest));
@@ -64,7 +64,7 @@
   SECTION("and holds nothing against what a replica has run before") {
     watch.Survived(kRequest);
     for (int i = 0; i < kCrashes; ++i) {
-      watch.Broke(kRequest, "r", Gone(context));
+      watch.ConnectionBroke(kRequest, "r", Gone(context));
       pause();
     }
     CHECK_FALSE(watch.Quarantined(kRequest));
--- a/src/nodes/tests/fleetengines_tests.cpp
+++ b/src/nodes/tests/fleetengines_tests.cpp
@@ -97,7 +97,7 @@
     CHECK(OwnedBy(fleet, "store-1", now) + OwnedBy(fleet, "store-2", now) == 2);
     for (const placement::EngineOption& option : options(now)) {
       const auto owned = EnginesOwnedBy(fleet, option.gate, now);
-      CHECK(std::ranges::any_of(owned, [&option](const EngineAt& engine) {
+      CHECK(std::ranges::any_of(owned, [&option](const EngineLocation& engine) {
         return engine.address == option.address && engine.service == "llm";
       }));
     }
@@ -131,7 +131,7 @@
   // the others, which hear of its silence and name another. Cause: it goes on
   // by a list that nobody confirms any more.
   SECTION("no host owns an engine by a list that is too old, or not whole") {
-    const Time late = now + kHostsHold + std::chrono::milliseconds(1);
+    const Time late = now + kHostListValidity + std::chrono::milliseconds(1);
     CHECK(OwnedBy(fleet, "store-1", late) == 0);
     CHECK(OwnedBy(fleet, "store-2", late) == 0);
     SECTION("then entries share its slots") {
--- a/src/nodes/tests/listpace_tests.cpp
+++ b/src/nodes/tests/listpolling_tests.cpp
@@ -3,7 +3,7 @@
 #include <queue>
 #include <vector>
 
-#include "nodes/listpace.h"
+#include "nodes/listpolling.h"
 
 namespace papayarack::nodes {
 namespace {
@@ -33,14 +33,14 @@
 };
 
 /// How a reader acts. Anew: a refused page ends the reading and another begins
-/// a fixed pause after the former began. Paced: as OwnListPace and PageRetry
-/// say.
-enum class Manner { kAnew, kPaced };
+/// a fixed pause after the former began. Paced: as ListPollSchedule and
+/// PageRetry say.
+enum class Strategy { kRestart, kPaced };
 
 struct Reader {
   explicit Reader(std::uint64_t seed) : pace(seed), random(seed + 1) {}
 
-  OwnListPace pace;
+  ListPollSchedule pace;
   std::minstd_rand random;
   std::optional<PageRetry> retry;
   Time begun{};
@@ -52,7 +52,7 @@
 };
 
 struct Fleet {
-  Manner manner = Manner::kPaced;
+  Strategy strategy = Strategy::kPaced;
   std::size_t readers = 0;
   std::size_t replicas = 0;
   std::size_t pages = 0;
@@ -70,9 +70,9 @@
 };
 
 /// Plays readers that hear of no list from time 0 on, when theirs is fresh.
-class Play {
+class Simulation {
  public:
-  explicit Play(const Fleet& fleet)
+  explicit Simulation(const Fleet& fleet)
       : fleet(fleet),
         list{fleet.rate, fleet.burst_s, fleet.rate * fleet.burst_s, {}} {
     for (std::size_t i = 0; i <= fleet.readers; ++i) {
@@ -119,7 +119,7 @@
 
   bool IsLeader(std::size_t i) const { return i == this->fleet.readers; }
   ListLoad Load() const {
-    return {this->fleet.rate, LikelyReaders(3, this->fleet.replicas),
+    return {this->fleet.rate, EstimateReaders(3, this->fleet.replicas),
             this->fleet.pages};
   }
   void Plan(Time at, std::size_t reader, bool page) {
@@ -129,20 +129,21 @@
   bool Due(Reader& reader, Time now, bool leader) {
     if (leader) {
       const milliseconds least =
-          this->fleet.manner == Manner::kAnew
+          this->fleet.strategy == Strategy::kRestart
               ? milliseconds(500)
-              : std::max(milliseconds(500),
-                         LeaderListPause(this->fleet.rate, this->fleet.pages));
+              : std::max(
+                    milliseconds(500),
+                    LeaderListInterval(this->fleet.rate, this->fleet.pages));
       return this->fleet.leader &&
              (!reader.has_begun || now - reader.begun >= least);
     }
-    const milliseconds too_old = this->fleet.manner == Manner::kAnew
-                                     ? kListTooOld
-                                     : ListTooOld(this->Load());
+    const milliseconds too_old = this->fleet.strategy == Strategy::kRestart
+                                     ? kMaxListAge
+                                     : MaxListAge(this->Load());
     if (now - reader.seen <= too_old) {
       return false;
     }
-    return this->fleet.manner == Manner::kAnew
+    return this->fleet.strategy == Strategy::kRestart
                ? !reader.has_begun || now - reader.begun > milliseconds(1000)
                : reader.pace.Due(this->Load(), now);
   }
@@ -165,7 +166,7 @@
     constexpr milliseconds kAnswerTime{5};
     Reader& reader = this->readers[i];
     if (this->list.Takes(now)) {
-      reader.retry->Taken();
+      reader.retry->PageRead();
       if (++reader.pages < this->fleet.pages) {
         this->Plan(now + kAnswerTime, i, true);
       } else {
@@ -178,7 +179,7 @@
     ++this->refused;
     ++reader.refused;
     std::optional<milliseconds> pause;
-    if (this->fleet.manner == Manner::kPaced) {
+    if (this->fleet.strategy == Strategy::kPaced) {
       pause = reader.retry->Again(
           now, std::uniform_real_distribution<double>(0, 1)(reader.random));
     }
@@ -202,12 +203,12 @@
   std::size_t refused = 0;
 };
 
-Outcome PlayFor(Fleet fleet, Manner manner, int seconds) {
-  fleet.manner = manner;
-  const Outcome outcome = Play(fleet).Until(At(seconds * 1000));
+Outcome Simulate(Fleet fleet, Strategy strategy, int seconds) {
+  fleet.strategy = strategy;
+  const Outcome outcome = Simulation(fleet).Until(At(seconds * 1000));
   UNSCOPED_INFO(
       "readers " << fleet.readers << " pages " << fleet.pages << " rate "
-                 << fleet.rate << " paced " << (manner == Manner::kPaced)
+                 << fleet.rate << " paced " << (strategy == Strategy::kPaced)
                  << " s " << seconds << ": lists " << outcome.lists
                  << " with_list " << outcome.with_list << " leader "
                  << outcome.leader_lists << " refused " << outcome.refused
@@ -225,23 +226,23 @@
 TEST_CASE("processes without a leader get lists") {
   SECTION("100 of them, 800 replicas") {
     const Fleet fleet{{}, 100, 800, 16, 105};
-    const Outcome anew = PlayFor(fleet, Manner::kAnew, 10);
+    const Outcome anew = Simulate(fleet, Strategy::kRestart, 10);
     CHECK(anew.lists == 0);
     CHECK(anew.oldest_s == 10);
-    CHECK(PlayFor(fleet, Manner::kAnew, 60).lists == 0);
-    CHECK(PlayFor(fleet, Manner::kPaced, 10).lists >= 40);
+    CHECK(Simulate(fleet, Strategy::kRestart, 60).lists == 0);
+    CHECK(Simulate(fleet, Strategy::kPaced, 10).lists >= 40);
     // A round of all is 1,600 calls at four fifths of 105 a second, 19 s, and a
     // pause is up to a quarter longer.
-    const Outcome later = PlayFor(fleet, Manner::kPaced, 60);
+    const Outcome later = Simulate(fleet, Strategy::kPaced, 60);
     CHECK(later.with_list == 100);
     CHECK(later.oldest_s < 25);
   }
   SECTION("100 of them, 3000 replicas") {
     const Fleet fleet{{}, 100, 3000, 60, 210};
-    const std::size_t anew = PlayFor(fleet, Manner::kAnew, 10).lists;
-    CHECK(PlayFor(fleet, Manner::kPaced, 10).lists >= 2 * anew);
-    const Outcome late = PlayFor(fleet, Manner::kAnew, 60);
-    const Outcome paced = PlayFor(fleet, Manner::kPaced, 60);
+    const std::size_t anew = Simulate(fleet, Strategy::kRestart, 10).lists;
+    CHECK(Simulate(fleet, Strategy::kPaced, 10).lists >= 2 * anew);
+    const Outcome late = Simulate(fleet, Strategy::kRestart, 60);
+    const Outcome paced = Simulate(fleet, Strategy::kPaced, 60);
     CHECK(late.with_list < 60);
     CHECK(paced.with_list == 100);
     CHECK(paced.refused * 10 < late.refused);
@@ -251,16 +252,16 @@
     const double burst_s = GENERATE(1.0, 0.1);
     const Fleet fleet{{}, 24, 200, 4, 47, false, burst_s};
     for (const int seconds : {10, 60}) {
-      const Outcome paced = PlayFor(fleet, Manner::kPaced, seconds);
+      const Outcome paced = Simulate(fleet, Strategy::kPaced, seconds);
       CHECK(paced.with_list == 24);
       CHECK(paced.oldest_s < 3.5);
     }
-    CHECK(PlayFor(fleet, Manner::kAnew, 60).oldest_s > 20);
+    CHECK(Simulate(fleet, Strategy::kRestart, 60).oldest_s > 20);
   }
   SECTION("a few of them as often as without a pace") {
     const Fleet fleet{{}, 3, 10, 1, 47};
-    const Outcome anew = PlayFor(fleet, Manner::kAnew, 10);
-    const Outcome paced = PlayFor(fleet, Manner::kPaced, 10);
+    const Outcome anew = Simulate(fleet, Strategy::kRestart, 10);
+    const Outcome paced = Simulate(fleet, Strategy::kPaced, 10);
     CHECK(paced.lists >= anew.lists);
     CHECK(paced.refused == 0);
     CHECK(paced.oldest_s <= 2.2);
@@ -273,8 +274,8 @@
   const Fleet fleet = GENERATE(Fleet{{}, 24, 200, 4, 47, true},
                                Fleet{{}, 100, 800, 16, 105, true},
                                Fleet{{}, 100, 3000, 60, 210, true});
-  const Outcome anew = PlayFor(fleet, Manner::kAnew, 60);
-  const Outcome paced = PlayFor(fleet, Manner::kPaced, 60);
+  const Outcome anew = Simulate(fleet, Strategy::kRestart, 60);
+  const Outcome paced = Simulate(fleet, Strategy::kPaced, 60);
   CHECK(paced.leader_lists > anew.leader_lists);
   CHECK(paced.with_list >= anew.with_list);
 }
@@ -284,7 +285,7 @@
   SECTION("with pauses that differ") {
     std::vector<milliseconds> first;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      OwnListPace pace(seed);
+      ListPollSchedule pace(seed);
       int ms = 0;
       while (!pace.Due(load, At(ms))) {
         ++ms;
@@ -303,13 +304,13 @@
   }
   SECTION("never faster than one a second") {
     const ListLoad small{100, 1, 1};
-    OwnListPace pace(1);
+    ListPollSchedule pace(1);
     pace.Ended(small, true, 0, At(100));
     CHECK_FALSE(pace.Due(small, At(1099)));
     CHECK(pace.Due(small, At(1350)));
   }
   SECTION("slower when more read than was thought, and back again") {
-    OwnListPace pace(1);
+    ListPollSchedule pace(1);
     pace.Ended(load, false, 3, At(0));
     CHECK_FALSE(pace.Due(load, At(4999)));
     for (int i = 0; i < 9; ++i) {
@@ -323,30 +324,30 @@
     CHECK(pace.Due(load, At(3125)));
   }
   SECTION("not slower for a list that is out of reach") {
-    OwnListPace pace(1);
+    ListPollSchedule pace(1);
     pace.Ended(load, false, 0, At(0));
     CHECK(pace.Due(load, At(3125)));
   }
 }
 
 TEST_CASE("the leader's pause grows with the list") {
-  CHECK(LeaderListPause(40, 1) == milliseconds(50));
-  CHECK(LeaderListPause(40, 60) == milliseconds(3000));
-  CHECK(LeaderListPause(ListRate(0), 1) == milliseconds(50));
+  CHECK(LeaderListInterval(40, 1) == milliseconds(50));
+  CHECK(LeaderListInterval(40, 60) == milliseconds(3000));
+  CHECK(LeaderListInterval(ListRate(0), 1) == milliseconds(50));
   CHECK(ListRate(47) == 47);
   CHECK(ListRate(-1) == kDefaultListRate);
 }
 
 TEST_CASE("a list is not too old while the leader keeps to its pause") {
-  CHECK(ListTooOld({47, 25, 4}) == milliseconds(1700));
-  CHECK(ListTooOld({40, 100, 60}) == milliseconds(4200));
+  CHECK(MaxListAge({47, 25, 4}) == milliseconds(1700));
+  CHECK(MaxListAge({40, 100, 60}) == milliseconds(4200));
 }
 
 TEST_CASE("those that may read are guessed from the replicas") {
-  CHECK(LikelyReaders(0, 0) == 1);
-  CHECK(LikelyReaders(5, 10) == 5);
-  CHECK(LikelyReaders(3, 200) == 25);
-  CHECK(LikelyReaders(3, 3000) == 100);
+  CHECK(EstimateReaders(0, 0) == 1);
+  CHECK(EstimateReaders(5, 10) == 5);
+  CHECK(EstimateReaders(3, 200) == 25);
+  CHECK(EstimateReaders(3, 3000) == 100);
 }
 
 TEST_CASE("a page is asked for again a few times, in bounded time") {
@@ -357,7 +358,7 @@
       CHECK(retry.Again(At(0), 1.0) == milliseconds(ms));
     }
     CHECK_FALSE(retry.Again(At(0), 1.0).has_value());
-    retry.Taken();
+    retry.PageRead();
     CHECK(retry.Again(At(0), 0.0) == milliseconds(50));
   }
   SECTION("not when the pages before would be too old") {
@@ -370,12 +371,12 @@
 // Symptom: entries get no list while they hear no leader, because each of some
 // thousand gates searches the whole of it every few seconds as well.
 TEST_CASE("searches take little of the rate while there are many") {
-  SearchPace pace(7);
+  SearchBackoff pace(7);
   CHECK(pace.Pages() == 1);
   for (int i = 0; i < 10; ++i) {
     pace.Ended(true);
   }
-  CHECK(pace.Pages() == SearchPace::kMostPages);
+  CHECK(pace.Pages() == SearchBackoff::kMaxPages);
   CHECK(pace.Next() <= milliseconds(5000));
   for (int i = 0; i < 10; ++i) {
     pace.Ended(false);
--- a/src/nodes/tests/listreading_tests.cpp
+++ b/src/nodes/tests/listreading_tests.cpp
@@ -66,7 +66,7 @@
   }
 
   /// Runs one reading; how long it took is in `took`.
-  std::optional<EngineList> Read(const ListExtent& extent = {}) {
+  std::optional<EngineList> Read(const ListReadLimits& extent = {}) {
     std::optional<EngineList> result;
     int ended = 0;
     const Time begun = MonotonicNow();
@@ -104,7 +104,7 @@
   Duration took{};
   asio::io_context context;
   Dialect dialect;
-  ListReader reader;
+  ListReaderState reader;
   http::HttpServer server;
   http::HttpClient client{this->context};
 };
@@ -141,16 +141,16 @@
   list.refusals = 1000;
   SECTION("when a page is refused again and again") {
     CHECK_FALSE(list.Read().has_value());
-    CHECK(list.took < PageRetry::kLongestReading + std::chrono::seconds(1));
-    CHECK(list.asked["/2"] <= static_cast<int>(PageRetry::kMostRepeats) + 1);
+    CHECK(list.took < PageRetry::kMaxReadTime + std::chrono::seconds(1));
+    CHECK(list.asked["/2"] <= static_cast<int>(PageRetry::kMaxRepeats) + 1);
     CHECK(list.asked["/2"] > 2);
     CHECK(list.reader.refused == static_cast<std::size_t>(list.asked["/2"]));
   }
   SECTION("when a page is not answered") {
     list.silent_at = "/2";
     CHECK_FALSE(list.Read().has_value());
-    CHECK(list.took >= PageRetry::kLongestReading);
-    CHECK(list.took < PageRetry::kLongestReading + std::chrono::seconds(1));
+    CHECK(list.took >= PageRetry::kMaxReadTime);
+    CHECK(list.took < PageRetry::kMaxReadTime + std::chrono::seconds(1));
   }
   SECTION("at once when another try would be answered the same") {
     list.refusal = 404;
@@ -164,7 +164,7 @@
     CHECK(list.asked["/2"] == 1);
   }
   SECTION("at once for a search") {
-    CHECK_FALSE(list.Read({SearchPace::kMostPages, 0}).has_value());
+    CHECK_FALSE(list.Read({SearchBackoff::kMaxPages, 0}).has_value());
     CHECK(list.asked["/2"] == 1);
   }
   // The list is known to have a second page.
--- a/src/nodes/tests/ownership_tests.cpp
+++ b/src/nodes/tests/ownership_tests.cpp
@@ -18,7 +18,7 @@
 
 constexpr milliseconds kStep{50};
 /// A watch is answered after this long when nothing changes.
-constexpr milliseconds kReportEvery{1000};
+constexpr milliseconds kReportInterval{1000};
 /// What the leader tells is here after this long at the latest: a tick of the
 /// leader's and a hop.
 constexpr milliseconds kSpread{150};
@@ -37,9 +37,9 @@
 
 /// A leader's real table, and processes that report to it and follow its list,
 /// each with its own delay. Time goes in steps.
-class World {
+class FleetSimulation {
  public:
-  World(std::size_t stores, std::size_t engines, std::size_t gates) {
+  FleetSimulation(std::size_t stores, std::size_t engines, std::size_t gates) {
     this->table.Clear(this->now);
     for (std::size_t i = 0; i < stores; ++i) {
       this->Add("store-" + std::to_string(i), NodeRole::kStore, {});
@@ -101,7 +101,7 @@
     for (Process& process : this->processes) {
       if (process.link == Link::kThere && this->now >= process.next_report) {
         this->table.Take(process.report, this->now);
-        process.next_report = this->now + kReportEvery;
+        process.next_report = this->now + kReportInterval;
       }
     }
   }
@@ -127,7 +127,7 @@
     const auto owned =
         EnginesOwnedBy(process.known, process.report.address, this->now);
     return process.link != Link::kGone &&
-           std::ranges::any_of(owned, [&engine](const EngineAt& at) {
+           std::ranges::any_of(owned, [&engine](const EngineLocation& at) {
              return at.address == engine;
            });
   }
@@ -203,19 +203,20 @@
 // some processes were lost, cut off from the leader or came back.
 TEST_CASE("owners of engines over random losses") {
   rc::check("an engine has an owner soon, and not two for long", [] {
-    World world(*rc::gen::inRange<std::size_t>(1, 6),
-                *rc::gen::inRange<std::size_t>(1, 12),
-                *rc::gen::inRange<std::size_t>(0, 6));
-    world.Run(std::chrono::seconds(4));
+    FleetSimulation simulation(*rc::gen::inRange<std::size_t>(1, 6),
+                               *rc::gen::inRange<std::size_t>(1, 12),
+                               *rc::gen::inRange<std::size_t>(0, 6));
+    simulation.Run(std::chrono::seconds(4));
     const auto losses = *rc::gen::inRange(1, 12);
     for (int i = 0; i < losses; ++i) {
-      world.Set(*rc::gen::inRange<std::size_t>(0, 100),
-                *rc::gen::element(Link::kThere, Link::kCutOff, Link::kGone));
-      world.Run(milliseconds(*rc::gen::inRange(0, 9000)));
+      simulation.Set(
+          *rc::gen::inRange<std::size_t>(0, 100),
+          *rc::gen::element(Link::kThere, Link::kCutOff, Link::kGone));
+      simulation.Run(milliseconds(*rc::gen::inRange(0, 9000)));
     }
-    RC_ASSERT(world.LongestOwnerless() <= kLongestOwnerless);
-    RC_ASSERT(world.LongestShared() <= kSpread);
-    RC_ASSERT(world.LongestByOldList() <= kHostsHold);
+    RC_ASSERT(simulation.LongestOwnerless() <= kLongestOwnerless);
+    RC_ASSERT(simulation.LongestShared() <= kSpread);
+    RC_ASSERT(simulation.LongestByOldList() <= kHostListValidity);
   });
 }
 
--- a/src/nodes/tests/heldasks_tests.cpp
+++ b/src/nodes/tests/pendingacquirequeue_tests.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "nodes/heldasks.h"
+#include "nodes/pendingacquirequeue.h"
 
 namespace papayarack::nodes {
 
@@ -9,18 +9,18 @@
 // the report comes.
 TEST_CASE("asks wait for the first report of an engine") {
   const auto at = [](int ms) { return Time(std::chrono::milliseconds(ms)); };
-  HeldAsks held;
-  std::size_t told_no_owner = 0;
+  PendingAcquireQueue held;
+  std::size_t refused = 0;
   for (int ms = 0; ms < 100; ms += 5) {
-    told_no_owner += held.TakeExpired(at(ms)).size();
-    REQUIRE(held.Hold(static_cast<transport::StreamId>(ms) + 1, {}, at(ms)));
+    refused += held.TakeExpired(at(ms)).size();
+    REQUIRE(held.Offer(static_cast<transport::StreamId>(ms) + 1, {}, at(ms)));
   }
   SECTION("as long as whoever asked does not take the owner for frozen") {
-    CHECK(told_no_owner == 8);
-    const auto let_on = held.TakeAll();
-    REQUIRE(let_on.size() == 12);
-    CHECK(let_on.front().asked == at(40));
-    CHECK(let_on.back().asked == at(95));
+    CHECK(refused == 8);
+    const auto released = held.TakeAll();
+    REQUIRE(released.size() == 12);
+    CHECK(released.front().asked == at(40));
+    CHECK(released.back().asked == at(95));
     CHECK(held.Empty());
   }
   SECTION("unless their caller leaves") {
@@ -29,9 +29,9 @@
     CHECK(held.TakeAll().size() == 11);
   }
   SECTION("in a bounded number") {
-    while (held.Hold(1000, {}, at(100))) {
+    while (held.Offer(1000, {}, at(100))) {
     }
-    CHECK(held.TakeAll().size() == HeldAsks::kMostHeld);
+    CHECK(held.TakeAll().size() == PendingAcquireQueue::kMaxPending);
   }
 }
 
--- a/src/nodes/tests/resultburst_tests.cpp
+++ b/src/nodes/tests/resultburst_tests.cpp
@@ -22,16 +22,16 @@
         return ended >= kItems;
       },
       kShare, kBurst);
-  CHECK(fleet.Held() < kItems);
+  CHECK(fleet.HeldCount() < kItems);
   CHECK(fleet.RunUntil(
       [&] {
         fleet.engines.End(kItems);
-        return fleet.Held() == 0;
+        return fleet.HeldCount() == 0;
       },
       kShare, kSoon));
-  INFO("held " << fleet.Held() << " after " << ToSeconds(MonotonicNow() - begun)
-               << " s");
-  CHECK(fleet.Held() == 0);
+  INFO("held " << fleet.HeldCount() << " after "
+               << ToSeconds(MonotonicNow() - begun) << " s");
+  CHECK(fleet.HeldCount() == 0);
 }
 
 // Guards against results that stay at their gates while a leader that does not
@@ -49,7 +49,7 @@
     }
   }
   SECTION("as its disk answers nothing") { first.StallDisk(true); }
-  CHECK(ResultsAreTakenSoon(fleet));
+  CHECK(ResultsAcceptedInTime(fleet));
 }
 
 }  // namespace papayarack::nodes
--- a/src/nodes/tests/resultfleet.h
+++ b/src/nodes/tests/resultfleet.h
@@ -29,7 +29,7 @@
 constexpr std::size_t kItemsOfBatch = 12;
 constexpr double kWholeProcessor = 1.0;
 constexpr milliseconds kStep{10};
-constexpr milliseconds kPatience{8000};
+constexpr milliseconds kTimeout{8000};
 
 /// All engines at one address: each answer is one event, whose end the test
 /// gives.
@@ -161,10 +161,10 @@
     return done();
   }
 
-  std::size_t Held() const {
+  std::size_t HeldCount() const {
     std::size_t held = 0;
     for (const Gate& gate : this->gates) {
-      held += gate.runner.Held();
+      held += gate.runner.HeldCount();
     }
     return held;
   }
@@ -181,7 +181,7 @@
 /// Submits so many items that every slot runs one, and waits until it does.
 inline void FillSlots(Fleet& fleet) {
   REQUIRE(fleet.RunUntil([&] { return fleet.Leader() != nullptr; },
-                         kWholeProcessor, kPatience));
+                         kWholeProcessor, kTimeout));
   std::vector<ResultCode> codes;
   for (std::size_t i = 0; i < kItems / kItemsOfBatch; ++i) {
     batches::SubmitBatch batch;
@@ -195,24 +195,24 @@
     fleet.Leader()->Ask("/jobs/submit", batch, codes);
   }
   REQUIRE(fleet.RunUntil([&] { return fleet.engines.Running() == kItems; },
-                         kWholeProcessor, 2 * kPatience));
+                         kWholeProcessor, 2 * kTimeout));
 }
 
 /// How long a result may need to the next leader: a silent connection is given
 /// up, the others elect, a report is repeated.
-inline milliseconds SoonAtTheNextLeader() {
+inline milliseconds FailoverTime() {
   constexpr milliseconds kElection{1200};
   const transport::PeerClientOptions connection;
   return connection.ping_after + connection.silent_after + kElection +
-         BatchRunner::kLongestReportPause;
+         BatchRunner::kMaxReportBackoff;
 }
 
 /// Ends one run of each gate; true when all results were taken in time.
-inline bool ResultsAreTakenSoon(Fleet& fleet) {
+inline bool ResultsAcceptedInTime(Fleet& fleet) {
   const std::size_t left = kItems - kGates;
   fleet.engines.End(kGates);
-  return fleet.RunUntil([&] { return fleet.Held() <= left; }, kWholeProcessor,
-                        SoonAtTheNextLeader());
+  return fleet.RunUntil([&] { return fleet.HeldCount() <= left; },
+                        kWholeProcessor, FailoverTime());
 }
 
 }  // namespace papayarack::nodes
--- a/src/nodes/tests/silentleader_tests.cpp
+++ b/src/nodes/tests/silentleader_tests.cpp
@@ -31,7 +31,7 @@
   Fleet fleet;
   FillSlots(fleet);
   fleet.frozen = fleet.Leader();
-  CHECK(ResultsAreTakenSoon(fleet));
+  CHECK(ResultsAcceptedInTime(fleet));
 }
 
 }  // namespace papayarack::nodes
--- a/src/nodes/tests/startupqueue_tests.cpp
+++ b/src/nodes/tests/startupqueue_tests.cpp
@@ -44,14 +44,14 @@
 TEST_CASE("what waits at a start is bounded") {
   StartupQueue queue(At(0));
   SECTION("in bytes, which come free again") {
-    CHECK(Offer(queue, 1, 0, StartupQueue::kMostBytes));
+    CHECK(Offer(queue, 1, 0, StartupQueue::kMaxBytes));
     CHECK_FALSE(Offer(queue, 2, 0));
     CHECK(queue.Remove(1));
     CHECK_FALSE(queue.Remove(1));
     CHECK(Offer(queue, 2, 0));
   }
   SECTION("in number") {
-    for (std::size_t i = 0; i < StartupQueue::kMostRequests; ++i) {
+    for (std::size_t i = 0; i < StartupQueue::kMaxRequests; ++i) {
       CHECK(Offer(queue, i + 1, 0));
     }
     CHECK_FALSE(Offer(queue, 1000, 0));
--- a/src/statemachine/commands.h
+++ b/src/statemachine/commands.h
@@ -6,7 +6,7 @@
 #include <variant>
 #include <vector>
 
-#include "claims/claimbook.h"
+#include "claims/claimtable.h"
 #include "documents/documentbook.h"
 #include "global/messagecodec.h"
 #include "jobs/jobbook.h"
--- a/src/statemachine/statemachine.h
+++ b/src/statemachine/statemachine.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <string_view>
 
-#include "claims/claimbook.h"
+#include "claims/claimtable.h"
 #include "documents/documentbook.h"
 #include "jobs/filebook.h"
 #include "jobs/jobbook.h"
@@ -36,7 +36,7 @@
   }
   const jobs::JobBook& jobs() const { return this->job_book; }
   const jobs::FileBook& files() const { return this->file_book; }
-  const claims::ClaimBook& claims() const { return this->claim_book; }
+  const claims::ClaimTable& claims() const { return this->claim_book; }
 
  private:
   CommandReply Do(const SubmitDocument& command);
@@ -52,7 +52,7 @@
   documents::DocumentBook document_book;
   jobs::FileBook file_book;
   jobs::JobBook job_book;
-  claims::ClaimBook claim_book;
+  claims::ClaimTable claim_book;
 };
 
 }  // namespace papayarack::statemachine
--- a/tools/prove.py
+++ b/tools/prove.py
@@ -33,7 +33,7 @@
      "if (false && state == ItemState::kDone)", "jobs"),
     ("complete after a cancel", "src/jobs/internal/jobbook.cpp",
      "    return ResultCode::kCancelled;\n", "", "jobs"),
-    ("let a running claim through", "src/claims/internal/claimbook.cpp",
+    ("let a running claim through", "src/claims/internal/claimtable.cpp",
      "overdue ? ResultCode::kUnknownOutcome", "true ? ResultCode::kOk", "claims"),
     ("undo leaving", "src/fleet/internal/fleettable.cpp",
      "entry.leaving || report.leaving", "report.leaving", "fleet"),
