--- a/src/nodes/batchapi.h
+++ b/src/nodes/batchapi.h
@@ -14,19 +14,19 @@
 
 namespace papayarack::nodes {
 
-/// Answers callers of batches with the job group's word. Thread safety: none,
-/// the loop's thread.
+/// Serves the batch calls of the callers' interface by forwarding them to the
+/// job group. Thread safety: none, the loop's thread.
 class BatchApi {
  public:
-  /// Precondition: both outlive it.
+  /// Precondition: both arguments outlive it.
   BatchApi(NodeRuntime& runtime, http::HttpServer& front);
 
-  /// A batch for `route`, accepted once the group has it.
+  /// Submits a batch for `route`; answers once the job group has committed it.
   void Submit(http::ExchangeId exchange, const http::HttpRequest& request,
               const routes::Route& route);
   /// Any other call about a batch.
   void Answer(http::ExchangeId exchange, const BatchCall& call);
-  /// Gives the caller's call up. False when there is none.
+  /// Cancels the call of a caller that disconnected. False when there is none.
   bool CallerGone(http::ExchangeId exchange);
   bool Empty() const { return this->job_calls.empty(); }
 
@@ -38,7 +38,7 @@
 
   NodeRuntime& runtime;
   http::HttpServer& front;
-  /// Calls under way, to give up when their callers leave.
+  /// Calls in progress, cancelled when their callers disconnect.
   std::unordered_map<http::ExchangeId, std::uint64_t> job_calls;
 };
 
--- a/src/nodes/batchrunner.h
+++ b/src/nodes/batchrunner.h
@@ -21,7 +21,7 @@
 
 namespace papayarack::nodes {
 
-/// The engine that a runner feeds.
+/// The engine that a runner sends items to.
 struct RunnerTarget {
   std::string gate;  ///< Name of this process.
   std::uint64_t incarnation = 0;
@@ -29,33 +29,33 @@
   std::string engine_address;
 };
 
-/// Runs batch items on one engine in the slots that online work leaves: pulls
-/// them from the job group's leader, stops them when online work needs the
-/// slot, goes on behind what they have made, reports how they ended. Thread
-/// safety: none, the loop's thread.
+/// Runs batch items on one engine in the slots that online work leaves free:
+/// pulls them from the job group's leader, preempts them when online work needs
+/// the slot, resumes them after the last event received, and reports their
+/// outcomes. Thread safety: none, the loop's thread.
 class BatchRunner {
  public:
-  /// Most bytes of one report, unless a single outcome has more. A gate has one
-  /// report on its way, so this times the gates of a fleet is what its leader
-  /// may have to take at once: 4.6 MB for 144.
+  /// Maximum bytes of one report, unless a single outcome has more. A gate has
+  /// one report in flight, so this times the number of gates is what the leader
+  /// may receive at once: 4.6 MB for 144.
   static constexpr std::size_t kMaxReportBytes = 32U << 10U;
-  /// An answer that the leader gave at once is here after this long: ten round
-  /// trips between regions of one continent (20 ms each), or 200 KB at the pace
-  /// of TimeToCarry. Doubled by each pull that was given up in vain, so that an
-  /// answer of any size arrives in the end.
+  /// A pull that the leader answered at once has been answered within this
+  /// time: ten round trips between regions of one continent (20 ms each), or
+  /// 200 KB at the rate of TimeToCarry. Doubled by each pull that was cancelled
+  /// without an answer, so that an answer of any size arrives eventually.
   static constexpr std::chrono::milliseconds kAnswerTime{200};
-  /// The time stops growing here: the leader holds a pull for 1 s at most, and
-  /// this leaves 0.6 s for its answer, as one attempt does.
+  /// Upper bound of the answer time: the leader delays a pull by 1 s at most,
+  /// which leaves 0.6 s for its answer, as in one attempt.
   static constexpr std::chrono::milliseconds kMaxAnswerTime{1600};
-  /// Most bytes of texts that one pull hands back, unless a single one has
-  /// more: a quarter of a second on a link at the pace of TimeToCarry, within
+  /// Maximum bytes of texts that one pull returns, unless a single one has
+  /// more: a quarter of a second on a link at the rate of TimeToCarry, within
   /// one attempt.
   static constexpr std::size_t kMaxReturnBytes = 256U << 10U;
-  /// Wait after the first report that failed; doubled by each further one. It
-  /// keeps refusals that come at once from being met with copies at the pace of
-  /// the link.
+  /// Backoff after the first failed report, doubled by each further failure.
+  /// Without it, refusals that come at once would be answered with copies as
+  /// fast as the link allows.
   static constexpr std::chrono::milliseconds kMinReportBackoff{100};
-  /// The pause stops growing here: longer than an election (0.6 to 1.2 s) it
+  /// Upper bound of the backoff: longer than an election (0.6 to 1.2 s) it
   /// would only delay results.
   static constexpr std::chrono::milliseconds kMaxReportBackoff{1600};
 
@@ -69,23 +69,23 @@
   void SetRoutes(routes::RouteTablePtr table) {
     this->table = std::move(table);
   }
-  /// The id of the engine; empty when it is not known.
+  /// Sets the id of the engine; empty when it is not known.
   void SetEngine(std::string id) { this->engine_id = std::move(id); }
-  /// The engine is another start of it. All runs are taken up again at once
-  /// instead of when they have been silent for kMaxSilence; one that was
-  /// already sent to the new start loses the reading of its prompt.
+  /// The engine process has restarted. Resumes all runs at once instead of
+  /// after kMaxSilence without data; a run that was already sent to the new
+  /// process has to read its prompt again.
   void EngineRestarted();
-  /// Slots were taken or given back: preempts and starts runs accordingly.
+  /// Preempts and starts runs after slots were taken or released.
   void Balance();
-  /// Runs are stopped and handed back, but for those that wait to be reported.
-  /// The next pull carries them.
-  void HandBackAll();
-  /// No further items; as HandBackAll, at once.
+  /// Stops all runs and returns their items, except those waiting to be
+  /// reported. The next pull carries them.
+  void ReturnAll();
+  /// Takes no further items and does the same as ReturnAll, at once.
   void Stop();
   /// Called every few tens of milliseconds.
   void Tick();
   std::size_t HeldCount() const { return this->runs.size(); }
-  /// Whether the leader has taken back all that was handed back.
+  /// Whether the leader has acknowledged all returned items.
   bool AllReturned() const {
     return this->to_return.empty() && this->returning.empty();
   }
@@ -102,33 +102,35 @@
     http::HttpCallId call = 0;
     int status = 0;
     bool not_run = false;
-    Time due{};                     ///< When its result is due.
-    Time since{};                   ///< Start of the present phase.
-    Time last_heard{};              ///< Last byte of the run.
+    Time due{};                     ///< Deadline of its result.
+    Time since{};                   ///< Start of the current phase.
+    Time last_heard{};              ///< When its last byte came.
     Time not_before{};              ///< No start before this, after a failure.
-    std::uint64_t first_event = 0;  ///< Of the present connection.
+    std::uint64_t first_event = 0;  ///< Of the current connection.
     batches::ItemOutcome outcome;
   };
   using RunId = std::uint64_t;
 
   void Pull();
-  /// Whether the answer to the pull under way can bring no items, and it hands
-  /// nothing back.
+  /// Whether the pull in flight asked for no items and returns none.
   bool PullIsIdle() const;
   bool ShouldPull(Time now) const;
   void OnPulled(const Result& result, const std::string& body);
   void Take(batches::LeasedItem item);
-  /// What the next pull hands back; it stays in `returning` until answered.
+  /// Moves the items for the next pull from `to_return` to `returning`, where
+  /// they stay until it is answered.
   void SelectReturns();
-  /// The pull under way may not have arrived: the next hands back again.
+  /// The pull in flight may not have arrived: the next one returns its items
+  /// again.
   void RequeueReturns();
   std::vector<batches::ItemRef> HeldItems() const;
   std::uint32_t Room() const;
-  /// What a run still needs, by the runs that have ended here.
+  /// Estimated time to finish, from the runs that have ended here.
   Duration Remaining(const Run& run) const;
-  /// Time to spare until it is due; below zero when it cannot be in time.
+  /// Time left until the item is due after its estimated run; negative when it
+  /// will be late.
   Duration Slack(const Run& run, Time now) const;
-  /// Slack, with late runs behind all others.
+  /// Slack, but late runs sort after all others.
   Duration Urgency(const Run& run, Time now) const;
   bool Late(const Run& run) const;
   void UpdateEstimates(const Run& run);
@@ -144,14 +146,14 @@
   void Report();
   void OnReported(const Result& result, std::span<const RunId> reported);
   void ReturnLongPaused(Time now);
-  /// Forgets the runs for which `predicate` says yes; it may change them.
+  /// Erases the runs for which `predicate` returns true; it may modify them.
   template <typename Predicate>
   void EraseRuns(const Predicate& predicate) {
     for (auto run = this->runs.begin(); run != this->runs.end();) {
       run = predicate(run->second) ? this->runs.erase(run) : std::next(run);
     }
   }
-  void HandBack(Run& run);
+  void ReturnItem(Run& run);
 
   RunnerTarget target;
   const Dialect& dialect;
@@ -169,8 +171,8 @@
   Time next_pull{};
   Time pulled_at{};
   std::chrono::milliseconds answer_time = kAnswerTime;
-  std::vector<batches::ReturnedItem> to_return;  ///< With a later pull.
-  std::vector<batches::ReturnedItem> returning;  ///< With that under way.
+  std::vector<batches::ReturnedItem> to_return;  ///< For a later pull.
+  std::vector<batches::ReturnedItem> returning;  ///< In the pull in flight.
   bool reporting = false;
   Time next_report{};
   std::chrono::milliseconds report_backoff = kMinReportBackoff;
--- a/src/nodes/crashdetector.h
+++ b/src/nodes/crashdetector.h
@@ -15,16 +15,16 @@
 
 namespace papayarack::nodes {
 
-/// An entry's part in stopping requests that crash the replicas that run them:
-/// sees which broken runs were crashes, tells the leader, and says which
-/// requests are not to be run. Thread safety: none, the loop's thread.
+/// An entry's part in quarantining requests that crash replicas: detects which
+/// broken runs were crashes, reports them to the leader, and says which
+/// requests must not run. Thread safety: none, the loop's thread.
 class CrashDetector {
  public:
-  /// Answers within a round trip, or the replica cannot be told from one that
-  /// is cut off, which is no evidence.
+  /// A probe must be answered within this time. Otherwise the replica may be
+  /// unreachable rather than crashed, which is no evidence.
   static constexpr std::chrono::milliseconds kConnectTimeout{150};
-  /// By a leader's silence for longer this entry goes by its own reports: it
-  /// answers at least once a second.
+  /// After a longer silence of the leader this entry uses its own reports: the
+  /// leader answers at least once a second.
   static constexpr std::chrono::milliseconds kMaxLeaderSilence{1500};
 
   /// Precondition: `watch` outlives this.
@@ -34,15 +34,15 @@
   CrashDetector& operator=(const CrashDetector&) = delete;
 
   static quarantine::Fingerprint Identify(const http::HttpRequest& request);
-  /// Whether the request is not to be run.
+  /// Whether the request must not be run.
   bool Quarantined(const quarantine::Fingerprint& request) const;
-  /// The connection of a run broke before its end. Counts only if the replica's
-  /// port then refuses connections: a reset, a spoiled answer or a cut say
-  /// nothing of the request.
+  /// The connection of a run broke before its end. Counts as a crash only if
+  /// the replica's port then refuses connections: a reset, a malformed answer
+  /// or a lost link says nothing about the request.
   void ConnectionBroke(const quarantine::Fingerprint& request,
                        std::string_view id,
                        const placement::EngineStart& engine);
-  /// A replica answered it to the end, whatever the answer.
+  /// A replica answered the request completely, whatever the status.
   void Survived(const quarantine::Fingerprint& request);
 
  private:
@@ -52,7 +52,7 @@
   asio::io_context& context;
   coordination::FleetWatch& watch;
   quarantine::RecentSurvivals survivals;
-  quarantine::CrashLedger local_ledger;  ///< Of this entry's reports alone.
+  quarantine::CrashLedger local_ledger;  ///< From this entry's reports only.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/nodes/dialect.h
+++ b/src/nodes/dialect.h
@@ -18,21 +18,21 @@
 
 namespace papayarack::nodes {
 
-/// What an entry needs to know of a caller's request that runs at once.
+/// Fields of a caller's online request that an entry uses.
 struct CallFields {
   std::string id;
-  std::optional<std::chrono::milliseconds> deadline;  ///< From its arrival.
-  std::optional<std::uint64_t> resume_after;  ///< Last event the caller has.
+  std::optional<std::chrono::milliseconds> deadline;  ///< Since its arrival.
+  std::optional<std::uint64_t> resume_after;          ///< Last event received.
 };
 
-/// What an entry or gate tells the engine with a request.
+/// Fields that an entry or gate adds to a request for an engine.
 struct ForwardFields {
-  std::optional<std::chrono::milliseconds> deadline;  ///< What is left.
+  std::optional<std::chrono::milliseconds> deadline;  ///< Time left.
   std::string engine_id;  ///< Only the replica of this id may run it.
   std::optional<std::uint64_t> resume_after;
 };
 
-/// What an engine says of itself with an answer.
+/// Load that an engine reports.
 struct EngineLoad {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
@@ -41,11 +41,11 @@
 };
 struct EngineHead {
   bool not_run = false;  ///< The engine states that the request did not run.
-  bool sealed = false;   ///< It carries the mark of a whole engine answer.
+  bool sealed = false;   ///< Has the header of a complete engine answer.
   std::optional<EngineLoad> load;
 };
 
-/// Calls about batches.
+/// Batch calls other than submission.
 struct BatchResultsCall {
   batches::ReadResults query;
 };
@@ -58,7 +58,7 @@
 using BatchCall =
     std::variant<std::monostate, BatchResultsCall, BatchBodyCall, BatchEndCall>;
 
-/// Calls of operators.
+/// Operator calls.
 struct ReplaceConfigurationCall {
   std::uint64_t version = 0;
   std::string text;
@@ -78,19 +78,19 @@
 struct EnginePage {
   std::vector<coordination::EngineInstance> engines;
   std::string next;         ///< Token of the following page; empty on the last.
-  std::size_t skipped = 0;  ///< Entries that name no replica to use.
-  /// What was wrong with the first of them, or with `next`; empty when nothing
-  /// was.
+  std::size_t skipped = 0;  ///< Entries without a usable replica.
+  /// The problem with the first skipped entry, or with `next`; empty when there
+  /// is none.
   std::string first_problem;
 };
 
-/// The names and formats that a deployment speaks; each function only
-/// translates. Those that read throw ResultError(kBadInput) for what they
-/// cannot read in full. Thread safety: any thread.
+/// The wire names and formats of one deployment; the functions only translate.
+/// The reading functions throw ResultError(kBadInput) for input that they
+/// cannot read completely. Thread safety: any thread.
 struct Dialect {
   std::function<CallFields(const http::Headers&)> read_call;
   std::function<void(http::Headers&, const ForwardFields&)> write_forward;
-  /// The header by which an answer is known to belong to request `id`.
+  /// The header that marks an answer as belonging to request `id`.
   std::function<http::Header(const std::string& id)> identity;
   std::function<EngineHead(const http::HttpHead&)> read_engine_head;
   std::function<routes::FleetConfiguration(std::string_view)>
@@ -100,7 +100,8 @@
   std::function<std::string(const batches::ResultPage&)> write_results;
   std::function<OperatorCall(const http::HttpRequest&)> read_operator_call;
   std::function<std::string(const coordination::StoreState&)> write_store;
-  /// Where an engine tells its own load, and what it says there.
+  /// The path at which an engine reports its load, and the parser of the
+  /// report.
   std::string report_target;
   std::function<EngineLoad(std::string_view)> read_report;
   std::function<std::string(const std::string& page)> list_target;
--- a/src/nodes/enginehost.h
+++ b/src/nodes/enginehost.h
@@ -14,29 +14,30 @@
 
 namespace papayarack::nodes {
 
-/// The engines whose slots this process owns: the one beside it, or those that
-/// have no process beside them and are this one's by the list of the fleet.
-/// Thread safety: none, the loop's thread.
+/// The engines whose slots this process owns: the one on its own VM, or those
+/// without a local process that the fleet list assigns to it. Thread safety:
+/// none, the loop's thread.
 class EngineHost {
  public:
-  /// Serves asks for slots from now on. Precondition: `runtime` outlives it.
+  /// Serves slot requests from now on. Precondition: `runtime` outlives it.
   explicit EngineHost(NodeRuntime& runtime);
   ~EngineHost();
   EngineHost(const EngineHost&) = delete;
   EngineHost& operator=(const EngineHost&) = delete;
 
-  /// What is known of the fleet has changed. Precondition: `runtime` watches.
+  /// The knowledge of the fleet has changed. Precondition: `runtime` watches
+  /// the fleet.
   void OnFleet();
-  /// Owns no further engines, gives no further slots, hands batch items back;
-  /// tells the fleet, so that others take over at once.
+  /// Takes over no further engines, grants no further slots and returns batch
+  /// items; announces it to the fleet, so that others take over at once.
   void BeginLeave();
-  /// True when nobody uses a slot any more.
+  /// True when no slot is in use or requested.
   bool Drained() const;
 
  private:
   struct Entry {
     std::unique_ptr<EngineOwner> owner;
-    Time since{};  ///< Since when it owns the engine, or was released.
+    Time since{};  ///< When it took the engine over or was released.
   };
   using ByAddress = std::map<std::string, Entry>;
 
@@ -46,15 +47,15 @@
   EngineOwner* Find(const AcquireSlot& ask);
   void TakeOver(const EngineLocation& engine);
   void Release(ByAddress::iterator owned, const char* reason);
-  /// Takes over and releases as the list of the fleet says.
+  /// Takes over and releases engines according to the fleet list.
   void ApplyHostList(Time now);
   void Tick();
 
   NodeRuntime& runtime;
   ByAddress engines;
-  std::list<Entry> released;  ///< Give no slots any more; their last runs end.
-  std::uint64_t last_owner = 0;  ///< Number of the last one that took over.
-  bool host_list_valid = false;  ///< As HostListValid, when last looked at.
+  std::list<Entry> released;     ///< Grant no slots; their last runs end.
+  std::uint64_t last_owner = 0;  ///< Number of the newest owner.
+  bool host_list_valid = false;  ///< As HostListValid, when last checked.
   bool leaving = false;
   asio::steady_timer timer;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/src/nodes/engineowner.h
+++ b/src/nodes/engineowner.h
@@ -18,19 +18,19 @@
 
 namespace papayarack::nodes {
 
-/// The engine whose slots an owner gives.
+/// The engine whose slots an owner manages.
 struct OwnedEngine {
   std::string address;
-  std::string service;  ///< Empty: whichever is listed at the address.
-  /// Whether the owner runs on the engine's VM: reports are fresh there and
-  /// cost nothing.
+  std::string service;  ///< Empty: any listed at the address.
+  /// Whether the owner runs on the engine's VM, where reports are fresh and
+  /// cheap.
   bool same_vm = false;
   std::string leaseholder;  ///< Names the owner in leases of batch items.
 };
 
-/// Owns the slots of one engine: gives them to online requests that entries
-/// send straight to the engine, fills the rest with batch items. Thread safety:
-/// none, the loop's thread.
+/// Owns the slots of one engine: grants them to online requests, which entries
+/// send directly to the engine, and fills the rest with batch items. Thread
+/// safety: none, the loop's thread.
 class EngineOwner {
  public:
   /// Precondition: `runtime` watches the fleet and outlives the owner.
@@ -39,48 +39,48 @@
   EngineOwner(const EngineOwner&) = delete;
   EngineOwner& operator=(const EngineOwner&) = delete;
 
-  /// What is known of the fleet has changed.
+  /// The knowledge of the fleet has changed.
   void OnFleet();
-  /// An entry wants a slot; answered on `stream`.
+  /// Handles a slot request of an entry; answered on `stream`.
   void Ask(transport::StreamId stream, const AcquireSlot& ask);
-  /// The requester gave the stream up, and with it the slot. False when it is
-  /// not one of this owner's.
+  /// The requester closed the stream and released its slot. False when the
+  /// stream is not one of this owner's.
   bool Cancelled(transport::StreamId stream);
   /// Called every few tens of milliseconds.
   void Tick();
-  /// Gives no further slots and hands batch items back.
+  /// Grants no further slots and returns batch items.
   void BeginLeave();
-  /// True when nobody uses a slot any more.
+  /// True when no slot is in use or requested.
   bool Drained() const;
-  /// True when it is drained and all batch items were taken back.
+  /// True when it is drained and the leader has acknowledged all returned
+  /// items.
   bool HandedOver() const;
   const std::string& engine_id() const { return this->id; }
   const OwnedEngine& engine() const { return this->owned; }
-  /// As operators are told, but for the time.
+  /// The state shown to operators, without `owned`.
   OwnedEngineState State() const;
 
  private:
   struct Ticket {
     std::string request;
     Time asked{};
-    std::uint32_t wait_ms = 0;  ///< Longest useful wait when it asked.
+    std::uint32_t wait_ms = 0;  ///< Maximum useful wait from then on.
   };
-  /// Grants, queues or refuses an ask made at `asked`.
+  /// Grants, queues or refuses a slot request made at `asked`.
   void Decide(transport::StreamId stream, const AcquireSlot& ask, Time asked);
   void Answer(transport::StreamId stream, const Ticket& ticket,
               SlotVerdict verdict);
-  /// Whether the engine would be asked for work, were it known which of its
-  /// slots are free.
+  /// Whether the engine could take work but its free slots are still unknown.
   bool AwaitsFirstReport() const;
   void ProcessPending(Time now);
   void ProcessQueues(Time now);
   void RequestReport(Time now);
-  /// The pace of reports: what others run ends within a second or lasts for
-  /// seconds.
+  /// Interval of load reports: runs of other processes end within a second or
+  /// last for seconds.
   Duration ReportInterval() const;
   void OnReport(const std::string& body);
   void ReportFailed();
-  /// Opens or closes desk and runner by what is known of the engine.
+  /// Opens or closes desk and runner according to the state of the engine.
   void UpdateAvailability();
   void ApplyListing(const coordination::EngineInstance& listed);
   void LearnStart(std::uint64_t started_ms);
@@ -89,7 +89,7 @@
   NodeRuntime& runtime;
   OwnedEngine owned;
   slots::SlotDesk desk;
-  http::HttpClient client;  ///< Of the engine.
+  http::HttpClient client;  ///< To the engine.
   BatchRunner runner;
   std::map<transport::StreamId, Ticket> tickets;
   PendingAcquireQueue pending;
@@ -97,7 +97,7 @@
   std::string last_id;           ///< The last one that was not empty.
   std::uint64_t started_ms = 0;  ///< As in EngineInstance.
   Time next_report{};
-  std::optional<http::HttpCallId> report_call;  ///< Under way.
+  std::optional<http::HttpCallId> report_call;  ///< In flight.
   slots::EnginePulse pulse;
   bool engine_up = true;  ///< As last logged.
   slots::ForeignRuns foreign;
--- a/src/nodes/entrynode.h
+++ b/src/nodes/entrynode.h
@@ -17,8 +17,8 @@
 
 namespace papayarack::nodes {
 
-/// The process behind the balancer: callers, the balancer's question and
-/// operators; where it has a disk, a member of the coordination group. Thread
+/// The process behind the load balancer: serves callers, readiness checks and
+/// operators; with a disk it is also a member of the coordination group. Thread
 /// safety: none, the loop's thread.
 class EntryNode {
  public:
@@ -27,14 +27,14 @@
   EntryNode(const EntryNode&) = delete;
   EntryNode& operator=(const EntryNode&) = delete;
 
-  /// Says that it is not ready, goes on serving what still comes.
+  /// Reports that it is not ready, but still serves requests that arrive.
   void BeginLeave();
-  /// The balancer has had time to learn that this process leaves: what still
-  /// comes is sent elsewhere at once. Symptom guarded against: where few
-  /// entries are left the balancer goes on sending here, and requests taken
-  /// late are cut when the grace time ends.
+  /// Refuses new requests, so that callers retry elsewhere. Called once the
+  /// balancer has had time to see that this process leaves: where few entries
+  /// are left the balancer keeps sending requests here, and those accepted late
+  /// are cut when the grace time ends.
   void RefuseNew();
-  /// True when no caller waits.
+  /// True when no caller waits and no slot is in use or requested.
   bool Drained() const;
 
  private:
@@ -44,7 +44,7 @@
   void StartCoordinator();
   bool Ready() const;
   void OnFleet(const coordination::FleetChange& change);
-  /// Which engines there are, and who owns them as of now.
+  /// Passes the current engines and their owners to the relay.
   void UpdateRelay();
   /// Whether a configuration and the platform's list are known.
   bool KnowsFleet() const;
@@ -74,10 +74,10 @@
   asio::steady_timer startup_timer;
   ListPollSchedule list_schedule;
   bool polling = false;
-  Time leader_read{};  ///< End of the last reading for the leader.
+  Time leader_read{};  ///< End of the last list read for the leader.
   asio::steady_timer leader_timer;
   EngineHost host;
-  bool host_list_valid = false;  ///< As the relay was last told.
+  bool host_list_valid = false;  ///< As last passed to the relay.
   bool leaving = false;
   bool refusing = false;
   asio::steady_timer timer;
--- a/src/nodes/fleetengines.h
+++ b/src/nodes/fleetengines.h
@@ -15,47 +15,47 @@
 
 namespace papayarack::nodes {
 
-/// An engine of the platform's list, by where it runs.
+/// An engine of the platform's list, identified by its address.
 struct EngineLocation {
   std::string address;
   std::string service;
 };
 
-/// What a process knows of the fleet names hosts of engines for this long after
-/// a leader has last confirmed it. Until then no other host can have taken over
-/// but those that a leader tells so; afterwards a process that is cut off from
-/// the others stops owning engines by itself. Longer than an election and the
-/// reports that follow it take, so that a change of leader stops nobody.
+/// How long the assignment of engines to hosts is valid after a leader last
+/// confirmed it. Until then only hosts named by a leader can have taken over;
+/// afterwards a process that is cut off from the others releases its engines by
+/// itself. Longer than an election and the reports after it, so that a change
+/// of leader releases no engine.
 inline constexpr std::chrono::milliseconds kHostListValidity{6000};
 
-/// Whether engines without a process beside them have hosts at `now`: a leader
-/// that knew of the processes named them within kHostListValidity. Thread
-/// safety: any thread.
+/// Whether the host assignment of engines without a local process is valid at
+/// `now`: a leader that knew the processes confirmed it within
+/// kHostListValidity. Thread safety: any thread.
 bool HostListValid(const coordination::FleetKnowledge& fleet, Time now);
 
-/// The engines without a process beside them that the one at `host` owns, with
-/// those that drain. Thread safety: any thread.
+/// The engines without a local process that the process at `host` owns,
+/// including draining ones. Thread safety: any thread.
 std::vector<EngineLocation> EnginesOwnedBy(
     const coordination::FleetKnowledge& fleet, std::string_view host, Time now);
 
-/// The engines that requests may go to, for each service of the configuration,
-/// with the process that owns its slots: the one beside it, or a host at `now`.
-/// `entry` names the process that is to use them. Those that are draining and
-/// those of a service that the configuration does not name are left out, and of
-/// several at one address all but the one that runs: each change of the fleet
-/// would look like a restart, with the loss of its connections and of what is
-/// known of its load. Thread safety: any thread.
+/// The engines that requests may use, by service of the configuration, each
+/// with the process that owns its slots: the gate on its VM, or a host at
+/// `now`. `entry` is the name of the process that uses them. Excludes draining
+/// engines and services that the configuration does not name. Of several
+/// engines at one address only the running one is included: otherwise each
+/// change of the fleet would look like a restart and drop its connections and
+/// known load. Thread safety: any thread.
 std::map<std::string, std::vector<placement::EngineOption>> OptionsByService(
     const coordination::FleetKnowledge& fleet,
     const routes::FleetConfiguration& configuration, const std::string& entry,
     Time now);
 
-/// The engine of `service` at `address`, or null; an empty `service` is any. Of
-/// several, one that does not drain, then the one that started last: a replica
-/// that crashed stays listed for seconds beside its successor.
-/// Symptom guarded against: a batch item runs at a replica of another service
-/// that was given the address of a former one. Thread safety: any thread; the
-/// result points into `engines`.
+/// The engine of `service` at `address`, or null; an empty `service` matches
+/// any. Of several, one that is not draining, then the latest started: a
+/// crashed replica stays listed for seconds together with its replacement. The
+/// service is compared because a replica of another service may have been given
+/// the address of a former one, and must not run its batch items. Thread
+/// safety: any thread; the result points into `engines`.
 const coordination::EngineInstance* FindEngine(
     std::span<const coordination::EngineInstance> engines,
     std::string_view address, std::string_view service);
--- a/src/nodes/gatenode.h
+++ b/src/nodes/gatenode.h
@@ -6,17 +6,17 @@
 
 namespace papayarack::nodes {
 
-/// The process beside one engine, whose slots it owns. Thread safety: none, the
-/// loop's thread.
+/// The process on the VM of one engine, whose slots it owns. Thread safety:
+/// none, the loop's thread.
 class GateNode {
  public:
   explicit GateNode(NodeRuntime& runtime);
   GateNode(const GateNode&) = delete;
   GateNode& operator=(const GateNode&) = delete;
 
-  /// Gives no further slots and hands batch items back.
+  /// Grants no further slots and returns batch items.
   void BeginLeave() { this->host.BeginLeave(); }
-  /// True when nobody uses a slot any more.
+  /// True when no slot is in use or requested.
   bool Drained() const { return this->host.Drained(); }
 
  private:
--- a/src/nodes/internal/batchapi.cpp
+++ b/src/nodes/internal/batchapi.cpp
@@ -10,7 +10,8 @@
 namespace papayarack::nodes {
 namespace {
 
-/// Callers of batches wait 1.5 s longer than they ask for.
+/// Call timeout. Callers of batches wait 1.5 s longer than the wait they
+/// request.
 constexpr std::chrono::milliseconds kBatchTime{1300};
 constexpr std::chrono::milliseconds kBatchAttemptTime{600};
 
@@ -33,7 +34,7 @@
     http::ExchangeId exchange, const std::string& path, std::string body,
     std::chrono::milliseconds time,
     std::function<http::HttpResponse(const Result&, std::string)> answer) {
-  // The call may end before its id is known here.
+  // The callback may run before `call` is assigned.
   const auto ended = std::make_shared<bool>(false);
   const std::uint64_t call = this->runtime.jobs->Call(
       path, std::move(body), time,
--- a/src/nodes/internal/batchrunner.cpp
+++ b/src/nodes/internal/batchrunner.cpp
@@ -10,31 +10,32 @@
 namespace papayarack::nodes {
 namespace {
 
-/// Pulls follow each other no more often than this: room changes at each online
-/// request, and each pull costs the leader a message.
+/// Minimum interval between pulls: the number of free slots changes at each
+/// online request, and each pull costs the leader a message.
 constexpr std::chrono::milliseconds kPullInterval{40};
 constexpr std::chrono::milliseconds kPullTime{4000};
 constexpr std::chrono::milliseconds kPullAttemptTime{1600};
-/// Of a report, and of one attempt at it: a leader answers each in the end, and
-/// one that is gone is noticed by its connection (PeerClientOptions). A copy
-/// for an answer that is late would only make it later.
+/// Timeout of a report and of one attempt at it: a leader answers each
+/// eventually, and a lost one is noticed by its connection (PeerClientOptions).
+/// Repeating a report whose answer is late would only delay it further.
 constexpr std::chrono::milliseconds kReportTime{10000};
-/// A paused item goes back to the others after this long: a wave's peak reaches
-/// every engine alike, so handing back before it ends finds no room elsewhere.
+/// A paused item is returned after this long: a load peak reaches every engine
+/// alike, so an item returned before it ends finds no free slot elsewhere.
 constexpr std::chrono::milliseconds kMaxPause{3500};
-/// A run without a byte for this long is taken up again on a new connection:
-/// a crowded engine makes an event at least every 0.2 s.
+/// A run that receives no data for this long is resumed on a new connection: a
+/// fully loaded engine produces an event at least every 0.2 s.
 constexpr std::chrono::milliseconds kMaxSilence{2500};
-/// Wait after an engine's refusal or a broken run.
+/// Delay before a run is retried after a refusal by the engine or a broken
+/// connection.
 constexpr std::chrono::milliseconds kRetryDelay{150};
 
-/// What an item takes, before the first one ended here.
+/// Estimates for an item before the first one has ended here.
 constexpr double kInitialEventsPerItem = 240;
 constexpr double kInitialMsPerEvent = 21;
-/// Weight of one ended run in both means.
+/// Weight of one ended run in both moving averages.
 constexpr double kEstimateWeight = 0.1;
-/// A late item is handed back after this long a pause: another gate may have
-/// room to spare, here it would stand before items that can be in time.
+/// A late item is returned after a pause this long: another gate may have free
+/// slots, while here it would delay items that can still be on time.
 constexpr std::chrono::milliseconds kMaxLatePause{400};
 
 constexpr int kItemImpossible = 422;
@@ -150,15 +151,14 @@
   return this->pulled_room == 0 && this->returning.empty();
 }
 
-/// Symptom guarded against: while online requests come and go, the links carry
-/// the same items again and again and they start late. Any change of room gave
-/// up the pull under way, and with it the bodies that the leader had sent
-/// already. What the leader has it hands out at once, so a
-/// pull is left alone while an answer may be on its way, and is given up only
-/// for what the leader's hold of 1 s would spoil: room that is less than asked
-/// for, or that there is now where none was, or items to hand back. Room that
-/// merely grew is filled by the next pull. A pull that can bring nothing is
-/// given up at once.
+/// Prevents items from being sent over the links repeatedly and starting late
+/// while online requests come and go: if any change of room cancelled the pull
+/// in flight, the bodies that the leader had already sent would be lost. The
+/// leader hands out at once what it has, so a pull is left alone while an
+/// answer may be in flight. It is cancelled only for changes that the leader's
+/// delay of 1 s would hold up: less room than requested, room where there was
+/// none, or items to return. If room merely grew, the next pull fills it. A
+/// pull that can bring nothing is cancelled at once.
 bool BatchRunner::ShouldPull(Time now) const {
   if (this->pull_call == 0) {
     return true;
@@ -212,11 +212,10 @@
   this->to_return.erase(this->to_return.begin(), first_left);
 }
 
-/// Symptom guarded against: an item that was handed back begins from nothing at
-/// the next gate, and is late. What a pull hands back was forgotten when it
-/// left, though it might be refused, or given up before it arrived. A second
-/// arrival is harmless: the leader keeps the text that goes further, and leaves
-/// an item alone that another gate has by then.
+/// Prevents a returned item from starting over at the next gate and being late:
+/// a pull may be refused, or cancelled before it arrives, so its items are kept
+/// until it is answered. Returning one twice is harmless: the leader keeps the
+/// longer text and ignores an item that another gate holds by then.
 void BatchRunner::RequeueReturns() {
   this->to_return.insert(this->to_return.begin(),
                          std::make_move_iterator(this->returning.begin()),
@@ -259,10 +258,10 @@
   this->Balance();
 }
 
-/// An item may come back before it was handed back, in the answer to a pull
-/// that still named it as held or had left before. It goes on from here, and is
-/// handed back no more: a return that came later would give it to another gate
-/// while it runs.
+/// An item may be leased to this gate again before its return was sent, in the
+/// answer to a pull that still listed it as held or was sent earlier. It
+/// continues here and its return is dropped: a later return would give it to
+/// another gate while it runs.
 void BatchRunner::Take(batches::LeasedItem item) {
   const batches::ItemRef ref{item.batch, item.spec.id};
   const auto kept =
@@ -290,8 +289,8 @@
   this->StartNext();
 }
 
-/// A late item leaves first, then the one with the most time to spare: both
-/// lose nothing that a caller would notice.
+/// Preempts a late item first, then the one with the most slack: in both cases
+/// no further deadline is missed.
 void BatchRunner::PreemptOne() {
   const Time now = MonotonicNow();
   Run* victim = nullptr;
@@ -303,7 +302,7 @@
     }
   }
   if (victim == nullptr) {
-    this->desk.EndBatch();  // Nothing runs: the count was off.
+    this->desk.EndBatch();  // Nothing runs: corrects the count.
     return;
   }
   this->Pause(*victim);
@@ -325,7 +324,7 @@
   const Time now = MonotonicNow();
   while (this->desk.BatchRoom() > 0 && !this->stopping &&
          !this->engine_id.empty() && this->table != nullptr) {
-    // The one with the least time to spare, late ones last.
+    // Least slack first, late ones last.
     RunId best = 0;
     for (const auto& [id, run] : this->runs) {
       const bool ready = run.phase == Phase::kPaused && now >= run.not_before;
@@ -346,7 +345,7 @@
       this->table->Find(run.item.host, run.item.spec.path);
   if (route == nullptr || route->kind != routes::RouteKind::kBatch) {
     run.not_before = MonotonicNow() + kRetryDelay;
-    return;  // The leader gives it up, or the route comes back.
+    return;  // The leader fails the item, or the route is restored.
   }
   http::HttpCall call;
   call.peer = ParseEndpoint(this->target.engine_address, "engine_address");
@@ -416,7 +415,7 @@
   }
 }
 
-/// Ids must follow each other without a gap; anything else is not this run's.
+/// Event ids must be consecutive; any other id belongs to another run.
 bool BatchRunner::AppendEvent(Run& run, const http::StreamEvent& event) {
   if (!event.id.has_value()) {
     return true;
@@ -471,7 +470,7 @@
   run.outcome.item = run.item.spec.id;
   run.outcome.end = static_cast<std::uint8_t>(end);
   run.outcome.max_attempts = route != nullptr ? route->max_attempts : 1;
-  // Numbers of runs begin anew with each start of this process.
+  // Run ids restart at 1 with each start of this process.
   run.outcome.run = Hash64(std::to_string(id), this->target.incarnation) | 1U;
   Log(LogLevel::kInfo, "item_ended",
       {{"request", run.item.spec.id},
@@ -487,12 +486,12 @@
   this->Report();
 }
 
-/// One report at a time; an item stays held until its report is acknowledged,
-/// or the leader would hand it to another gate. Symptom guarded against: gates
-/// that could not report for a moment fill the links to the leader. A report
-/// that had failed was sent again at once, with all that had ended meanwhile,
-/// so it grew with the load that it made. It is bounded, the rest goes with the
-/// next, and a failure is followed by a pause.
+/// Sends one report at a time; an item stays held until its report is
+/// acknowledged, as the leader would otherwise lease it to another gate.
+/// Reports are bounded and failures are followed by a backoff: otherwise gates
+/// that could not report for a moment fill the links to the leader, since a
+/// failed report sent again at once with everything that ended meanwhile grows
+/// with the load that it causes.
 void BatchRunner::Report() {
   if (this->reporting || MonotonicNow() < this->next_report) {
     return;
@@ -532,7 +531,7 @@
     this->next_report = MonotonicNow() + this->report_backoff;
     this->report_backoff =
         std::min(2 * this->report_backoff, kMaxReportBackoff);
-    return;  // Tick reports again.
+    return;  // Tick sends it again.
   }
   this->report_backoff = kMinReportBackoff;
   for (const RunId id : reported) {
@@ -541,7 +540,7 @@
   this->Report();
 }
 
-void BatchRunner::HandBack(Run& run) {
+void BatchRunner::ReturnItem(Run& run) {
   this->to_return.push_back({{run.item.batch, run.item.spec.id},
                              {std::move(run.text), run.last_event}});
 }
@@ -552,7 +551,7 @@
         this->Late(run) ? Duration(kMaxLatePause) : Duration(kMaxPause);
     const bool old = run.phase == Phase::kPaused && now - run.since > longest;
     if (old) {
-      this->HandBack(run);
+      this->ReturnItem(run);
     }
     return old;
   });
@@ -560,17 +559,17 @@
 
 void BatchRunner::Stop() {
   this->stopping = true;
-  this->HandBackAll();
+  this->ReturnAll();
   this->Pull();
 }
 
-void BatchRunner::HandBackAll() {
+void BatchRunner::ReturnAll() {
   this->EraseRuns([this](Run& run) {
     if (run.phase == Phase::kReporting) {
       return false;
     }
     this->Pause(run);
-    this->HandBack(run);
+    this->ReturnItem(run);
     return true;
   });
 }
--- a/src/nodes/internal/crashdetector.cpp
+++ b/src/nodes/internal/crashdetector.cpp
@@ -11,7 +11,7 @@
 
 using quarantine::Fingerprint;
 
-/// A connection that is tried only to learn whether the port refuses it.
+/// A connection attempt that only tests whether the port refuses it.
 struct CrashDetector::Probe {
   Probe(asio::io_context& context, const Fingerprint& request,
         std::string_view id, placement::EngineStart engine)
@@ -60,7 +60,7 @@
   const Endpoint endpoint = ParseEndpoint(engine.address, "engine");
   probe->timer.async_wait([probe](std::error_code error) {
     if (!error) {
-      std::error_code ignored;  // It is given up whatever closing it says.
+      std::error_code ignored;  // The probe ends in any case.
       probe->socket.close(ignored);
     }
   });
--- a/src/nodes/internal/enginehost.cpp
+++ b/src/nodes/internal/enginehost.cpp
@@ -11,13 +11,13 @@
 namespace papayarack::nodes {
 namespace {
 
-/// Queues and runners are looked at this often; grants after a release do not
-/// wait for it.
+/// Interval of checking queues and runners; grants after a release do not wait
+/// for it.
 constexpr std::chrono::milliseconds kTick{20};
-/// The same while no engine is owned: only the age of the list counts.
+/// The same while no engine is owned: only the age of the list matters.
 constexpr std::chrono::milliseconds kIdleTick{200};
-/// Longest time for a released engine's items to be taken back; after it their
-/// leases run out.
+/// Maximum time for a released engine's items to be returned; after it their
+/// leases expire.
 constexpr std::chrono::milliseconds kReleaseTime{6000};
 
 }  // namespace
@@ -101,8 +101,8 @@
   owned.address = engine.address;
   owned.service = engine.service;
   owned.same_vm = engine.address == options.engine_address;
-  // Leases of batch items are each engine's own, also where the same process
-  // owns it again before the last of the former ones has come back.
+  // Each ownership of an engine has its own leaseholder name, as the same
+  // process may own the engine again before the former items are returned.
   owned.leaseholder = owned.same_vm
                           ? options.name
                           : fmt::format("{}/{}@{}", options.name,
@@ -130,7 +130,7 @@
   this->engines.erase(owned);
 }
 
-/// Processes of the version before name the engine by its id only.
+/// Processes of the previous version identify the engine by its id only.
 EngineOwner* EngineHost::Find(const AcquireSlot& ask) {
   const auto found = this->engines.find(ask.engine_address);
   if (found != this->engines.end()) {
--- a/src/nodes/internal/engineowner.cpp
+++ b/src/nodes/internal/engineowner.cpp
@@ -11,11 +11,11 @@
 namespace papayarack::nodes {
 namespace {
 
-/// Pace of reports from the own VM.
+/// Interval of load reports on the same VM.
 constexpr std::chrono::milliseconds kLocalReportInterval{100};
-/// The same from another VM, where each costs the engine a call.
+/// The same from another VM, where each report costs the engine a network call.
 constexpr std::chrono::milliseconds kRemoteReportInterval{1000};
-/// The same while others run something there, to learn when it ends.
+/// The same while runs of other processes use the engine, to detect their end.
 constexpr std::chrono::milliseconds kSharedReportInterval{250};
 
 const char* NameOf(SlotVerdict verdict) {
@@ -51,8 +51,8 @@
   }
 }
 
-/// The engine as listed: its present id, whether it leaves, and how
-/// many slots it has.
+/// Applies the engine's list entry: its id, whether it drains, and how many
+/// slots it has.
 void EngineOwner::OnFleet() {
   const coordination::FleetKnowledge& fleet = this->runtime.watch->knowledge();
   const coordination::EngineInstance* found =
@@ -99,24 +99,24 @@
   this->desk.SetOpen(takes_work);
   this->runner.SetEngine(takes_work ? this->id : std::string());
   if (!up) {
-    this->runner.HandBackAll();
+    this->runner.ReturnAll();
   }
 }
 
-/// Symptom guarded against: slots stay taken, or items wait, after another
-/// replica has begun at this address, for what the one before was running.
+/// Prevents slots from staying taken and items from waiting for runs of a
+/// replica that was replaced by another one at the same address.
 void EngineOwner::ApplyListing(const coordination::EngineInstance& listed) {
   const bool other_replica =
       !this->last_id.empty() && this->last_id != listed.id;
   this->last_id = listed.id;
   if (other_replica) {
-    this->started_ms = 0;  // Its clock may be behind the former's.
+    this->started_ms = 0;  // Its clock may be behind.
     this->OnEngineRestart();
   }
   this->LearnStart(listed.started_ms);
 }
 
-/// The list lags behind the engine's own reports, so only a later start counts.
+/// Only a later start counts, as the list lags behind the engine's own reports.
 void EngineOwner::LearnStart(std::uint64_t started_ms) {
   const std::uint64_t before = this->started_ms;
   if (!placement::LearnStart(this->started_ms, started_ms)) {
@@ -131,9 +131,9 @@
   this->OnEngineRestart();
 }
 
-/// Drops what holds only for the former start of the engine: runs counted as
-/// others', kept connections, and batch items that it was running. Online runs
-/// are their entries' to end.
+/// Drops the state of the former engine process: foreign runs, pooled
+/// connections and running batch items. Entries end their online runs
+/// themselves.
 void EngineOwner::OnEngineRestart() {
   this->foreign.Forget();
   this->desk.SetForeign(0);
@@ -269,7 +269,7 @@
                                      : kRemoteReportInterval;
 }
 
-/// The engine's own word on what runs in it.
+/// Requests a load report from the engine.
 void EngineOwner::RequestReport(Time now) {
   if (this->report_call.has_value() && this->pulse.Overdue(now)) {
     if (this->report_problems.Due("overdue", now)) {
--- a/src/nodes/internal/entrynode.cpp
+++ b/src/nodes/internal/entrynode.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTick{200};
-/// Requests held at a start are looked at this often.
+/// Interval of checking requests that are held at start-up.
 constexpr std::chrono::milliseconds kEarlyTick{20};
 /// Retry-After where another process can take the request now.
 constexpr const char* kRetryElsewhere = "0.05";
@@ -73,9 +73,9 @@
       });
 }
 
-/// Symptom guarded against: the leader alone makes more calls than the platform
-/// takes, and each of its readings is refused a page: it reads anew at a fixed
-/// pace, and the list has grown to many pages. So the pause grows with them.
+/// Spaces the list reads of the leader by the number of pages: at a fixed
+/// interval a list of many pages alone exceeds the platform's rate limit, and a
+/// page of each read is refused.
 void EntryNode::ReadListForLeader(
     std::function<
         void(std::optional<std::vector<coordination::EngineInstance>>)>
@@ -283,7 +283,8 @@
   load.rate = ListRate(this->runtime.options.list_calls_per_second);
   load.readers = EstimateReaders(this->runtime.watch->search().members().size(),
                                  known.engines.size());
-  // Most processes have read no list before; the one they hold tells its size.
+  // Usually this process has not read the list before; the list it knows tells
+  // the size.
   load.pages = std::max(this->runtime.list_reader.pages,
                         EstimatePages(known.engines.size()));
   return load;
@@ -301,7 +302,7 @@
         this->list_schedule.Ended(this->EstimateListLoad(), engines.has_value(),
                                   this->runtime.list_reader.refused,
                                   MonotonicNow());
-        // A leader that was heard again has meanwhile told of a newer list.
+        // If a leader was heard again meanwhile, its list is newer.
         if (engines.has_value() &&
             this->runtime.watch->knowledge().engines_seen <= begun) {
           this->runtime.watch->TakeEngines(std::move(*engines));
--- a/src/nodes/internal/fleetengines.cpp
+++ b/src/nodes/internal/fleetengines.cpp
@@ -8,15 +8,16 @@
 namespace papayarack::nodes {
 namespace {
 
-/// Which of two replicas that are listed at one address runs there.
+/// Whether `one` rather than `other` runs at the address that both are listed
+/// with.
 bool Outranks(const coordination::EngineInstance& one,
               const coordination::EngineInstance& other) {
   return one.draining != other.draining ? other.draining
                                         : one.started_ms > other.started_ms;
 }
 
-/// The processes that own engines elsewhere: stores, and entries where no store
-/// is there.
+/// The processes that may own engines on other VMs: stores, or entries where
+/// there are no stores.
 std::vector<placement::HostOption> HostsOf(
     const coordination::FleetKnowledge& fleet) {
   std::vector<placement::HostOption> stores;
@@ -36,7 +37,7 @@
   return stores.empty() ? entries : stores;
 }
 
-/// Who owns the slots of each engine, both by their addresses.
+/// Owners of slots: from engine address to process address.
 using Owners = std::map<std::string, std::string>;
 
 Owners GatesOf(const coordination::FleetKnowledge& fleet) {
@@ -49,8 +50,8 @@
   return gates;
 }
 
-/// One engine of each address, those that drain among them: an engine that
-/// begins to drain moves no other.
+/// Assigns one engine per address to a host. Draining engines are included, so
+/// that an engine that starts to drain moves no other.
 Owners HostedOf(const coordination::FleetKnowledge& fleet,
                 const Owners& gates) {
   std::map<std::string, std::string> zones;
@@ -75,8 +76,8 @@
   return hosted;
 }
 
-/// Symptom guarded against: a process refuses everybody though engines are
-/// idle. Nobody owns them, and of none of them a slot is its own to use.
+/// Gives this process one slot if all its shares are zero: otherwise it would
+/// refuse all requests while engines without an owner are idle.
 void EnsureOneSlot(std::vector<placement::EngineOption>& options) {
   const bool some = std::ranges::any_of(options, [](const auto& option) {
     const bool has_gate = !option.gate.empty() && !option.hosted;
--- a/src/nodes/internal/listpolling.cpp
+++ b/src/nodes/internal/listpolling.cpp
@@ -8,9 +8,9 @@
 using std::chrono::milliseconds;
 
 constexpr double kMsPerSecond = 1000;
-/// Replicas for each entry on the smallest fleets that the platform runs.
+/// Replicas for each entry in the smallest supported fleets.
 constexpr std::size_t kReplicasPerEntry = 8;
-/// Entries of the largest of them.
+/// Entries of the largest supported fleets.
 constexpr std::size_t kMostReaders = 100;
 /// Entries on a page of the platform's list.
 constexpr std::size_t kReplicasPerPage = 50;
@@ -44,7 +44,9 @@
 
 }  // namespace
 
-double ListRate(double told) { return told > 0 ? told : kDefaultListRate; }
+double ListRate(double configured) {
+  return configured > 0 ? configured : kDefaultListRate;
+}
 
 std::size_t EstimateReaders(std::size_t members, std::size_t replicas) {
   const std::size_t least = std::max<std::size_t>(members, 1);
@@ -71,7 +73,7 @@
 
 bool ListPollSchedule::Due(const ListLoad& load, Time now) {
   if (!this->next.has_value() || now - *this->next > kScheduleExpiry) {
-    // Small fleets need no time for a round: nobody waits there.
+    // In small fleets a round takes no time, so nobody waits.
     this->next = now + Millis(this->Chance() *
                               static_cast<double>(RoundOf(load).count()));
   }
@@ -121,7 +123,7 @@
   }
   const milliseconds longest =
       std::min(kInitialPause * (1 << this->repeats), kMaxPause);
-  // At least half: a page asked for again at once would be refused again.
+  // At least half of it: a page requested again at once would be refused again.
   const milliseconds pause =
       Millis(static_cast<double>(longest.count()) * (1 + chance) / 2);
   if (now + pause >= this->begun + kMaxReadTime) {
--- a/src/nodes/internal/listreading.cpp
+++ b/src/nodes/internal/listreading.cpp
@@ -15,7 +15,7 @@
 
 using EngineList = std::vector<coordination::EngineInstance>;
 
-/// Reading a list that comes in pages: keeps itself alive until it ends.
+/// One read of a paged list; keeps itself alive until it ends.
 class ListReading : public std::enable_shared_from_this<ListReading> {
  public:
   ListReading(asio::io_context& context, http::HttpClient& client,
@@ -88,9 +88,9 @@
     this->Take(page);
   }
 
-  /// Symptom guarded against: a list is never whole. One call among all
-  /// processes is over the platform's rate, the pages before it are thrown away
-  /// and asked for anew, and those calls are over the rate in their turn.
+  /// Requests only the failed page again: starting over would repeat the calls
+  /// for the pages before it, which exceed the rate limit in turn, and no
+  /// process would get a complete list.
   void RetryPage(const std::string& reason) {
     const double chance =
         std::uniform_real_distribution<double>(0, 1)(this->reader.random);
@@ -111,7 +111,7 @@
   void Take(EnginePage& page) {
     this->retry.PageRead();
     for (coordination::EngineInstance& engine : page.engines) {
-      // The list moves between two pages, so that an entry can come again.
+      // The list may change between two pages, so an entry can come twice.
       const auto [place, added] =
           this->index_by_key.try_emplace(engine.Key(), this->engines.size());
       if (added) {
@@ -136,9 +136,8 @@
     this->RequestPage();
   }
 
-  /// Symptom guarded against: a replica that exists gets no request, and
-  /// nothing tells why. Its entry lacks a field, so it was left out of the
-  /// list.
+  /// Logs skipped entries: otherwise nothing shows why an existing replica
+  /// whose entry lacks a field gets no requests.
   void LogSkipped() {
     const std::string text =
         this->first_problem.empty()
@@ -159,7 +158,7 @@
            {"pages", this->pages},
            {"refused", this->refused}});
     }
-    // A list that was not read to its end has at least one page more.
+    // An incomplete list has at least one more page.
     this->reader.pages = std::max(this->reader.pages, this->pages + 1);
     this->End(std::nullopt);
   }
@@ -182,7 +181,7 @@
   asio::steady_timer retry_timer;
   asio::steady_timer deadline_timer;
   http::HttpCallId call = 0;
-  std::string token;  ///< Of the page being read; empty for the first.
+  std::string token;  ///< Of the current page; empty for the first.
   std::string body;
   int status = 0;
   EngineList engines;
--- a/src/nodes/internal/noderunner.cpp
+++ b/src/nodes/internal/noderunner.cpp
@@ -14,14 +14,15 @@
 namespace papayarack::nodes {
 namespace {
 
-/// The balancer asks once a second and takes a process out after two misses.
+/// The balancer checks readiness once a second and removes a process after two
+/// failed checks.
 constexpr std::chrono::milliseconds kBalancerReactionTime{2600};
-/// A store waits this long for its successor to be elected.
+/// A store waits this long for the election of its successor.
 constexpr std::chrono::milliseconds kHandoverTime{400};
-/// What is kept of the grace time for ending the process itself.
+/// Part of the grace time reserved for ending the process.
 constexpr std::chrono::milliseconds kGraceMargin{700};
 constexpr std::chrono::milliseconds kLeaveTick{50};
-/// Settings may change without a signal.
+/// Reload interval: settings may change without a signal.
 constexpr std::chrono::milliseconds kReloadEvery{3000};
 
 using Node = std::variant<std::unique_ptr<EntryNode>, std::unique_ptr<GateNode>,
@@ -39,7 +40,7 @@
   return std::make_unique<EntryNode>(runtime);
 }
 
-/// Signals, reloads and the graceful end of one node.
+/// Handles signals, reloads and the graceful shutdown of one node.
 class NodeLifecycle {
  public:
   NodeLifecycle(const ReadOptions& read_options, const Dialect& dialect)
@@ -93,7 +94,7 @@
       this->runtime.options.seeds = fresh.seeds;
       this->runtime.watch->search().SetSeeds(std::move(fresh.seeds));
     } catch (const ResultError& error) {
-      // Being written just now, or wrong: what was read before stays.
+      // The file is being written or invalid: keep the previous settings.
       Log(LogLevel::kWarn, "settings_unreadable", {{"text", error.what()}});
     }
   }
@@ -163,7 +164,7 @@
   Log(LogLevel::kInfo, "started");
   lifecycle.Run();
   FlushLog();
-  // Ends at once: nothing is left that a destructor would have to save.
+  // Exits without destructors: there is no state left to save.
   std::_Exit(0);
 }
 
--- a/src/nodes/internal/noderuntime.cpp
+++ b/src/nodes/internal/noderuntime.cpp
@@ -20,22 +20,22 @@
 
 constexpr const char* kCluster = "papayarack";
 constexpr int kExitStorageFailed = 70;
-/// Without a leader for this long the platform's list is searched for processes
-/// that know one; an election and the announcements take up to 2 s.
+/// If no leader was heard for this long, the platform's list is searched for
+/// processes that know one; an election and the announcements take up to 2 s.
 constexpr std::chrono::milliseconds kLeaderSilenceBeforeSearch{4000};
-/// What waits unsent is looked at this often: a link that works is rid of a
-/// large message between two looks.
+/// Interval of checking the unsent bytes: a working link sends a large message
+/// between two checks.
 constexpr std::chrono::milliseconds kBacklogInterval{500};
 
 std::uint64_t RandomNumber() {
   std::random_device device;
   const std::uint64_t high = device();
-  // Never zero, which names nobody; below 2^63, as some JSON readers need.
+  // Never zero, which means "none"; below 2^63, as some JSON readers require.
   return (((high << 32U) | device()) >> 1U) | 1U;
 }
 
-/// All founders work out the same identities from the same seeds, so they agree
-/// on the first members without having talked.
+/// All founders derive the same identities from the same seeds, so they agree
+/// on the first members without communication.
 std::uint64_t FounderIdentity(const std::string& address) {
   return (Hash64(address) >> 1U) | 1U;
 }
@@ -47,8 +47,8 @@
       dialect(dialect),
       incarnation(RandomNumber()),
       search_backoff(this->incarnation) {
-  // Where no entry has a disk the seeds keep the coordination group in memory:
-  // a restarted one is a new member, as after a lost disk.
+  // If no entry has a disk the seeds keep the coordination group in memory: a
+  // restarted one is a new member, as after the loss of a disk.
   const bool in_memory = this->options.data_folder.empty() &&
                          this->options.role == coordination::NodeRole::kEntry &&
                          this->IsSeed();
@@ -106,9 +106,10 @@
   return response;
 }
 
-/// Symptom guarded against: a member whose disk was wiped or damaged votes as
-/// if it still held what it once acknowledged. Its identity lives on the disk:
-/// a new disk is a new identity, and a damaged one is emptied and becomes new.
+/// Reads or creates the identity of this member, which is stored on its disk: a
+/// member whose disk was wiped or damaged must not vote as if it still had what
+/// it once acknowledged. A new disk gets a new identity; a damaged one is
+/// emptied and becomes new.
 void NodeRuntime::OpenFiles() {
   std::optional<consensus::FolderIdentity> identity;
   try {
@@ -138,7 +139,7 @@
     consensus::FoundGroup(*this->files, coordination::kCoordinationGroup,
                           members);
   }
-  // Last: a folder without an identity is emptied at the next start.
+  // Written last: a folder without an identity is emptied at the next start.
   consensus::IdentifyFolder(*this->files, {this->member, kCluster});
   Log(LogLevel::kInfo, "folder_identified",
       {{"member", this->member}, {"founder", founder}});
@@ -210,7 +211,7 @@
     const coordination::FleetKnowledge& fleet = this->watch->knowledge();
     this->metrics.Set("configuration_version",
                       static_cast<double>(fleet.config_version));
-    // No list yet has no age.
+    // Without a list there is no age.
     if (fleet.engines_seen != Time{}) {
       const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(
           MonotonicNow() - fleet.engines_seen);
@@ -234,9 +235,9 @@
   });
 }
 
-/// Symptom guarded against: a process that starts while every seed in its
-/// settings is gone never joins. Beside each replica on the platform's list
-/// runs a gate, and every gate knows the members.
+/// Searches the platform's list for processes that know a leader, as a process
+/// that starts while all its seeds are gone could not join otherwise. Each
+/// listed replica has a gate on its VM, and every gate knows the members.
 void NodeRuntime::ScheduleLeaderSearch() {
   this->search_timer->expires_after(this->search_backoff.Next());
   this->search_timer->async_wait([this](std::error_code error) {
@@ -257,7 +258,7 @@
 void NodeRuntime::SearchLeader() {
   ListReadLimits extent;
   extent.max_pages = this->search_backoff.Pages();
-  // What a search is refused would be of more use to readers of the whole list.
+  // No retries: readers of the whole list need the calls more.
   extent.max_repeats = 0;
   ReadEngineList(
       this->context, *this->list_client, this->dialect, *this->options.list,
@@ -287,8 +288,8 @@
         {{"config_version", fleet.config_version},
          {"routes", this->table->configuration().routes.size()}});
   } catch (const ResultError& error) {
-    // Checked before it was committed, so this is a fault of ours: what was in
-    // force stays.
+    // It was checked before it was committed, so this is a bug: keep the
+    // configuration in force.
     Log(LogLevel::kError, "configuration_unreadable",
         {{"config_version", fleet.config_version}, {"text", error.what()}});
   }
--- a/src/nodes/internal/onlinerelay.cpp
+++ b/src/nodes/internal/onlinerelay.cpp
@@ -12,18 +12,20 @@
 namespace papayarack::nodes {
 namespace {
 
-/// Timeouts and silences are looked at this often.
+/// Interval of checking timeouts.
 constexpr std::chrono::milliseconds kSweep{25};
-/// A repeatable request whose engine is silent for this long goes elsewhere:
+/// A repeatable request is sent to another engine after a silence this long:
 /// many times what an engine with a free slot takes to its first event.
 constexpr std::chrono::milliseconds kMaxFirstEventSilence{700};
-/// The same between two events; half of what callers wait before they leave.
+/// The same between two events; half of the time after which callers
+/// disconnect.
 constexpr std::chrono::milliseconds kMaxEventGap{900};
-/// Engines that may say "did not run" before the caller is told so.
+/// Maximum number of engines that may answer "did not run" before the caller is
+/// told so.
 constexpr std::size_t kMaxSends = 6;
-/// In the log where no gate named a wait.
+/// Logged when no gate stated an expected wait.
 constexpr std::chrono::milliseconds kUnknownWait{-1};
-/// For a request that is not to be run: as long as that stands.
+/// Retry-After of a quarantined request: as long as the quarantine lasts.
 constexpr std::chrono::seconds kQuarantineRetryAfter =
     quarantine::CrashLedger::kRemember;
 constexpr int kServiceUnavailable = 503;
@@ -32,7 +34,7 @@
 
 bool IsSuccess(int status) { return status / 100 == 2; }
 
-/// Statuses that tell the caller "did not run".
+/// Whether the status tells the caller that the request did not run.
 bool PromisesNotRun(int status) {
   return status == 503 || status == 429 || status == 408 || status == 421;
 }
@@ -75,8 +77,9 @@
   }
 }
 
-/// Runs of the former start end by their connections or fall silent; when one
-/// was sent cannot be compared with a start by another clock.
+/// Closes idle connections to the former engine process. Its runs end with
+/// their connections or by timeout: their send times cannot be compared with a
+/// start time of another clock.
 void OnlineRelay::OnRestart(const placement::EngineRestart& restart) {
   Log(LogLevel::kInfo, "engine_restarted",
       {{"engine", restart.now.id},
@@ -125,7 +128,7 @@
       MonotonicNow());
 }
 
-/// Chooses where to ask next, or refuses.
+/// Chooses the next engine, or refuses the request.
 void OnlineRelay::FindSlot(CallId id) {
   Call& call = this->calls.at(id);
   if (call.sends >= kMaxSends) {
@@ -224,8 +227,8 @@
   this->FindSlot(id);
 }
 
-/// The gate is gone, or its connection. Before the grant nothing was sent, so
-/// another is asked; afterwards the engine goes on with the request.
+/// The gate or its connection is lost. Nothing was sent before the grant, so
+/// another gate is tried; after it the engine continues the request.
 void OnlineRelay::OnAskFailed(CallId id, std::uint64_t attempt) {
   const auto found = this->calls.find(id);
   if (found == this->calls.end() || found->second.attempt != attempt) {
@@ -307,15 +310,15 @@
   const EngineHead engine = this->dialect.read_engine_head(head);
   call.status = head.status;
   if (engine.not_run) {
-    // Handled at the end of the answer, whose body says nothing more.
+    // Handled in OnEnd; the body is ignored.
     call.failed_status = true;
     return;
   }
   call.accepted = true;
   call.ran_at.insert(call.engine.address);
   const bool success = IsSuccess(head.status);
-  // A failure is the caller's to see once nothing else can be tried, unless it
-  // would say "did not run" of a request that may have.
+  // A failure is passed to the caller when no further attempt is possible,
+  // unless it would state "did not run" about a request that may have run.
   const bool can_repeat =
       call.route->MayRepeat() && call.ran_at.size() < call.route->max_attempts;
   call.failed_status =
@@ -363,8 +366,8 @@
   }
 }
 
-/// Passes whole events on. False when they do not follow each other: a gap, a
-/// repeat or another request's events must not reach the caller.
+/// Forwards complete events. False when their ids are not consecutive: a gap, a
+/// repetition or events of another request must not reach the caller.
 bool OnlineRelay::ForwardEvents(Call& call, std::string_view bytes) {
   call.splitter.Add(bytes);
   http::StreamEvent event;
@@ -439,7 +442,7 @@
        {"last_event", call.last_event},
        {"resumable", call.route->MayRepeat()}});
   const bool attempts_left = call.ran_at.size() < call.route->max_attempts;
-  // Plain answers cannot be continued; streams can, behind their last event.
+  // Streams can be resumed after their last event, other answers cannot.
   const bool can_go_on = !call.head_sent || call.is_events;
   if (call.route->MayRepeat() && attempts_left && can_go_on) {
     this->Retry(id);
@@ -448,7 +451,7 @@
   this->Fail(id, kBadGateway, reason);
 }
 
-/// Looks for another engine; the ones tried before are left out.
+/// Tries another engine; those already tried are excluded.
 void OnlineRelay::Retry(CallId id) {
   Call& call = this->calls.at(id);
   this->ReleaseEngine(call);
@@ -487,8 +490,8 @@
       .count();
 }
 
-/// At once, and with no invitation to come again soon: each run ends a replica
-/// and all that runs there.
+/// Refuses at once, with a long Retry-After: each run of the request ends a
+/// replica and everything that runs there.
 void OnlineRelay::RefuseQuarantined(CallId id) {
   Call& call = this->calls.at(id);
   constexpr const char* kReason = "it crashes the replicas that run it";
@@ -509,7 +512,7 @@
   this->Finish(id, "quarantined", kServiceUnavailable);
 }
 
-/// Refuses truthfully: "not run" only where no engine may have run it.
+/// Refuses the request; answers "not run" only if no engine may have run it.
 void OnlineRelay::Refuse(CallId id, const char* reason) {
   Call& call = this->calls.at(id);
   if (!call.ran_at.empty() || call.head_sent) {
--- a/src/nodes/internal/operatorapi.cpp
+++ b/src/nodes/internal/operatorapi.cpp
@@ -11,7 +11,7 @@
 namespace papayarack::nodes {
 namespace {
 
-/// Operators move on after a second without an answer to a small call.
+/// Operators' clients give up after a second without an answer to a small call.
 constexpr std::chrono::milliseconds kOperatorTime{900};
 constexpr std::chrono::milliseconds kOperatorAttemptTime{450};
 
@@ -39,9 +39,10 @@
 void OperatorApi::CallCoordination(
     http::ExchangeId exchange, const std::string& path, std::string body,
     std::function<http::HttpResponse(const Result&, std::string)> answer) {
-  // Whoever sends a large configuration waits longer for its answer; at the
-  // time of a small one a single attempt would use up the call. The text moves
-  // twice before that: to the leader, and on to whoever is to obey it.
+  // Clients wait longer for the answer to a large configuration, and with the
+  // timeout of a small one a single attempt would use up the call. The text is
+  // transferred twice before the answer: to the leader and to the processes
+  // that apply it.
   const std::chrono::milliseconds carry = TimeToCarry(body.size());
   this->runtime.coordination->Call(
       path, std::move(body), kOperatorTime + 2 * carry,
@@ -97,7 +98,7 @@
                          });
 }
 
-/// The leader says which version is the newest; its text mostly is here.
+/// The leader tells the newest version; its text is usually known here.
 void OperatorApi::OnReadConfiguration(http::ExchangeId exchange) {
   const auto& known = this->runtime.watch->knowledge();
   this->CallCoordination(
--- a/src/nodes/listreading.h
+++ b/src/nodes/listreading.h
@@ -17,29 +17,28 @@
 
 namespace papayarack::nodes {
 
-/// What a process keeps from one reading of the platform's list to the next.
-/// The figures are those of the reading that ended last, for its `done`.
+/// State that a process keeps between reads of the platform's list. The figures
+/// describe the read that ended last and are set before its `done` is called.
 struct ListReaderState {
-  LogThrottle skipped;   ///< Entries that name no replica to use.
-  LogThrottle failures;  ///< Readings that were given up.
+  LogThrottle skipped;   ///< Entries without a usable replica.
+  LogThrottle failures;  ///< Failed reads.
   std::minstd_rand random{std::random_device{}()};
-  std::size_t pages = 1;    ///< Of the list, as far as they were read.
-  std::size_t refused = 0;  ///< Calls over the platform's rate.
+  std::size_t pages = 1;    ///< Pages of the list known so far.
+  std::size_t refused = 0;  ///< Calls over the platform's rate limit.
 };
 
-/// How much of the list one reading asks for.
+/// Limits of one read of the list.
 struct ListReadLimits {
   std::size_t max_pages = SearchBackoff::kMaxPages;
-  std::size_t max_repeats = PageRetry::kMaxRepeats;  ///< Of each page.
+  std::size_t max_repeats = PageRetry::kMaxRepeats;  ///< For each page.
 };
 
-/// Reads the platform's list of replicas, page by page. A page that is not
-/// given is asked for again as PageRetry says; `done` gets nothing when the
-/// reading was given up, at the latest after PageRetry::kMaxReadTime. An
-/// entry that stands on two pages is given once, as the later one has it.
-/// Entries that name no replica to use are left out and logged. Precondition:
-/// `context`, `client`, `dialect` and `reader` outlive the reading. Thread
-/// safety: none, the loop's thread.
+/// Reads the platform's list of replicas page by page, with retries according
+/// to PageRetry. `done` gets nothing when the read failed, at the latest after
+/// PageRetry::kMaxReadTime. A replica on two pages is returned once, as the
+/// later page has it. Entries without a usable replica are skipped and logged.
+/// Precondition: `context`, `client`, `dialect` and `reader` outlive the read.
+/// Thread safety: none, the loop's thread.
 void ReadEngineList(
     asio::io_context& context, http::HttpClient& client, const Dialect& dialect,
     const Endpoint& list, ListReaderState& reader, const ListReadLimits& extent,
--- a/src/nodes/logthrottle.h
+++ b/src/nodes/logthrottle.h
@@ -9,17 +9,17 @@
 
 namespace papayarack::nodes {
 
-/// Keeps a condition that is found again at every poll from writing a log line
-/// each time. Thread safety: none.
+/// Limits the log lines about a condition that is found again at every poll.
+/// Thread safety: none.
 class LogThrottle {
  public:
-  /// Least time between two lines: of a list that is read twice a second and
-  /// is wrong in another way each time, one line in sixty readings.
+  /// Minimum time between two lines: for a list that is read twice a second
+  /// with a different error each time, one line in sixty reads.
   static constexpr std::chrono::seconds kMinInterval{30};
 
-  /// Whether to log that `text` holds now: it is not what was logged last, and
-  /// that was not just now. An empty `text` says that all is well, after which
-  /// the same text is worth a line again.
+  /// Whether to log that condition `text` holds now: it differs from the last
+  /// one logged, and kMinInterval has passed. An empty `text` means no error;
+  /// afterwards the same text is logged again.
   bool Due(std::string_view text, Time now);
 
  private:
--- a/src/nodes/loopdelaymonitor.h
+++ b/src/nodes/loopdelaymonitor.h
@@ -9,21 +9,22 @@
 
 namespace papayarack::nodes {
 
-/// Tells a loop that stands still from one that has nothing to do: logs
-/// `loop_delayed` and counts it when a timer is taken late. Thread safety:
-/// none, the loop's thread.
+/// Detects a blocked event loop, which in the log looks like an idle one: logs
+/// `loop_delayed` and counts it when a timer runs late. Thread safety: none,
+/// the loop's thread.
 class LoopDelayMonitor {
  public:
-  /// The loop is looked at this often.
+  /// Interval of the checks.
   static constexpr std::chrono::milliseconds kInterval{100};
-  /// A delay from here on is logged: a third of the shortest election.
+  /// Delays of at least this are logged: a third of the shortest election.
   static constexpr std::chrono::milliseconds kLongDelay{200};
 
-  /// Precondition: both outlive the watch. Looks only while the loop runs.
+  /// Precondition: both arguments outlive the monitor. Checks only while the
+  /// loop runs.
   LoopDelayMonitor(asio::io_context& context, Metrics& metrics);
 
-  /// Takes one look: the timer came `delay` late, and the loop's thread used
-  /// `used` of the processor since it was set.
+  /// Evaluates one check: the timer ran `delay` late, and the loop's thread
+  /// used `used` of processor time since it was set.
   void Check(Duration delay, std::chrono::nanoseconds used);
 
  private:
--- a/src/nodes/nodeoptions.h
+++ b/src/nodes/nodeoptions.h
@@ -12,28 +12,28 @@
 
 namespace papayarack::nodes {
 
-/// The settings of one process that runs with a platform's list of replicas.
+/// The settings of one process on a platform that provides a list of replicas.
 struct NodeOptions {
   std::string name;
   coordination::NodeRole role = coordination::NodeRole::kEntry;
   std::string zone;
   Endpoint peer_listen;
-  /// Peer addresses of processes that were members of the coordination group,
-  /// or could be, when the settings were written.
+  /// Peer addresses of processes that were, or could become, members of the
+  /// coordination group when the settings were written.
   std::vector<std::string> seeds;
   /// True only when the whole fleet starts for the first time, on empty disks.
   bool first_start = false;
   std::size_t losses_borne = 1;
   std::string data_folder;          ///< Empty: no disk.
-  std::optional<Endpoint> front;    ///< Entry: callers.
-  std::optional<Endpoint> ready;    ///< Entry: the balancer's question.
-  std::optional<Endpoint> control;  ///< Entry: operators.
-  std::optional<Endpoint> metrics;  ///< Counters in text form.
+  std::optional<Endpoint> front;    ///< Entry: address for callers.
+  std::optional<Endpoint> ready;    ///< Entry: readiness check.
+  std::optional<Endpoint> control;  ///< Entry: address for operators.
+  std::optional<Endpoint> metrics;  ///< Address for metrics.
   std::string engine_address;       ///< Gate.
   std::string engine_service;       ///< Gate.
   std::optional<Endpoint> list;     ///< The platform's list of replicas.
-  /// Calls to it that it takes each second from all processes together; zero:
-  /// not known.
+  /// Its rate limit in calls a second for all processes together; zero: not
+  /// known.
   double list_calls_per_second = 0;
   std::chrono::milliseconds grace{8000};  ///< From SIGTERM to SIGKILL.
   std::chrono::milliseconds batch_keep{120000};
--- a/src/nodes/noderunner.h
+++ b/src/nodes/noderunner.h
@@ -8,12 +8,12 @@
 
 namespace papayarack::nodes {
 
-/// Reads the settings anew; throws ResultError when they cannot be read.
+/// Reads the current settings; throws ResultError when they cannot be read.
 using ReadOptions = std::function<NodeOptions()>;
 
-/// Runs one node until SIGTERM or SIGINT and its graceful end. SIGHUP, and
-/// every few seconds without it, takes over changed seeds. Throws ResultError
-/// when it cannot start. Thread safety: call once, from main's thread.
+/// Runs one node until SIGTERM or SIGINT and its graceful shutdown. Applies
+/// changed seeds at SIGHUP and every few seconds. Throws ResultError when it
+/// cannot start. Thread safety: call once, from main's thread.
 void RunNode(const ReadOptions& read_options, const Dialect& dialect);
 
 }  // namespace papayarack::nodes
--- a/src/nodes/noderuntime.h
+++ b/src/nodes/noderuntime.h
@@ -29,34 +29,34 @@
 
 namespace papayarack::nodes {
 
-/// What every node has: the loop, the connections to other processes, what it
-/// knows of the fleet, the routes in force, its counters. Thread safety: none,
+/// Parts common to all nodes: event loop, connections to other processes,
+/// knowledge of the fleet, routes in force and metrics. Thread safety: none,
 /// the loop's thread.
 class NodeRuntime {
  public:
-  /// Opens the data folder where there is one and listens for other processes.
-  /// Throws ResultError.
+  /// Opens the data folder, if any, and listens for other processes. Throws
+  /// ResultError.
   NodeRuntime(NodeOptions options, const Dialect& dialect);
   NodeRuntime(const NodeRuntime&) = delete;
   NodeRuntime& operator=(const NodeRuntime&) = delete;
 
-  /// Begins to report to the coordination group. `changed` is called after
-  /// routes were taken over. `has_member`: this process has a member of that
-  /// group.
+  /// Starts reporting to the coordination group. `changed` is called after
+  /// changed routes were loaded. `has_member`: this process has a member of
+  /// that group.
   void Watch(std::function<void(const coordination::FleetChange&)> changed,
              bool has_member = false);
-  /// Ends the process: durable state can no longer be written. The platform
-  /// starts it again.
+  /// Exits the process because durable state can no longer be written; the
+  /// platform restarts it.
   void StorageFailed(const std::string& reason);
-  /// The counters in text form, with what this process knows and what its
-  /// connections moved as of now.
+  /// The metrics in text form, with the current state of the fleet knowledge
+  /// and of the connections.
   std::string Exposition();
 
   NodeOptions options;
   const Dialect& dialect;
   asio::io_context context{1};
   Metrics metrics;
-  /// Null where this process can be no member of a group.
+  /// Null when this process cannot be a member of a group.
   std::unique_ptr<storage::FileSystem> files;
   std::uint64_t member = 0;  ///< Identity of `files`; zero without them.
   std::uint64_t incarnation = 0;
@@ -64,12 +64,13 @@
   transport::PeerServer* server = nullptr;
   std::unique_ptr<transport::PeerClient> peers;
   std::unique_ptr<coordination::FleetWatch> watch;
-  routes::RouteTablePtr table;  ///< Null until a configuration was learned.
-  /// Calls to the coordination group's leader; from Watch() on.
+  routes::RouteTablePtr table;  ///< Null until a configuration is known.
+  /// Client of the coordination group's leader; null before Watch().
   std::unique_ptr<coordination::GroupClient> coordination;
-  /// The engines that this process owns, for operators; none while empty.
+  /// Returns the engines that this process owns, for operators; empty when it
+  /// owns none.
   std::function<std::vector<OwnedEngineState>()> owned_engines;
-  coordination::LeaderSearch job_search;  ///< Of the job group.
+  coordination::LeaderSearch job_search;  ///< For the job group.
   std::unique_ptr<coordination::GroupClient> jobs;
   ListReaderState list_reader;
 
@@ -82,7 +83,7 @@
   void WatchBacklog();
   void ServeMetrics();
   http::HttpResponse HandleMetricsRequest(std::string_view path);
-  /// Fingerprints that this process knows of, as a JSON list.
+  /// The known quarantined fingerprints as a JSON list.
   std::string QuarantineList() const;
 
   std::unique_ptr<transport::PeerServer> owned_server;
@@ -90,7 +91,7 @@
   std::unique_ptr<http::HttpClient> list_client;
   std::unique_ptr<asio::steady_timer> search_timer;
   SearchBackoff search_backoff;
-  /// Of this process's searches, whose readings are shorter than others.
+  /// For searches, which read fewer pages than other reads.
   ListReaderState search_reader;
   std::unique_ptr<asio::steady_timer> backlog_timer;
   transport::BacklogWatch backlog;
--- a/src/nodes/onlinerelay.h
+++ b/src/nodes/onlinerelay.h
@@ -27,20 +27,20 @@
 
 namespace papayarack::nodes {
 
-/// The process that a relay works for.
+/// The process that a relay belongs to.
 struct RelayLocation {
   std::string name;
   std::string zone;
 };
 
-/// Carries callers' requests that run at once: asks a gate for a slot, sends
-/// the request straight to the engine, passes the answer on as it comes, goes
-/// on at another engine where the route allows it. Every request gets exactly
-/// one answer: the engine's, a refusal that is true, or a broken connection
-/// that does not look complete. Thread safety: none, the loop's thread.
+/// Forwards online requests: acquires a slot from a gate, sends the request
+/// directly to the engine, streams the answer back, and resumes at another
+/// engine where the route allows it. Every request gets exactly one answer: the
+/// engine's, a truthful refusal, or a broken connection that does not look
+/// complete. Thread safety: none, the loop's thread.
 class OnlineRelay {
  public:
-  /// Precondition: what is referred to outlives the relay.
+  /// Precondition: all reference arguments outlive the relay.
   OnlineRelay(asio::io_context& context, http::HttpServer*& front,
               transport::PeerClient& peers, coordination::FleetWatch& watch,
               const Dialect& dialect, Metrics& metrics, RelayLocation place,
@@ -49,14 +49,14 @@
   OnlineRelay(const OnlineRelay&) = delete;
   OnlineRelay& operator=(const OnlineRelay&) = delete;
 
-  /// Takes a request that came at `arrived`. Precondition: `route` belongs to
-  /// `table` and is not a batch route.
+  /// Handles a request that arrived at `arrived`. Precondition: `route` belongs
+  /// to `table` and is not a batch route.
   void Take(http::ExchangeId exchange, http::HttpRequest request,
             routes::RouteTablePtr table, const routes::Route& route,
             Time arrived);
-  /// The caller is gone. True when the exchange was this relay's.
+  /// The caller has disconnected. True when the exchange was this relay's.
   bool CallerGone(http::ExchangeId exchange);
-  /// When the platform said which engines there are, for the log.
+  /// Sets when the platform's list was read, for the log.
   void SetListSeen(Time seen) { this->engines_seen = seen; }
   void SetFleet(const coordination::FleetKnowledge& fleet,
                 const routes::FleetConfiguration& configuration);
@@ -79,12 +79,12 @@
     std::set<std::string> ran_at;  ///< Addresses where it may have run.
     transport::CallId slot = 0;
     http::HttpCallId engine_call = 0;
-    std::uint64_t attempt = 0;  ///< Tells late callbacks apart.
+    std::uint64_t attempt = 0;  ///< Identifies late callbacks.
     Time sent{};
     Time last_heard{};
     bool head_sent = false;
     bool is_events = false;
-    bool accepted = false;  ///< The engine of this attempt did not refuse it.
+    bool accepted = false;  ///< Not refused by the engine of this attempt.
     bool failed_status = false;
     int status = 0;
     std::uint64_t last_event = 0;
@@ -108,7 +108,8 @@
   void OnBody(CallId id, std::uint64_t attempt, std::string_view bytes);
   bool ForwardEvents(Call& call, std::string_view bytes);
   void OnEnd(CallId id, std::uint64_t attempt, http::HttpEnd end);
-  /// The run ended without a whole answer; it may have run.
+  /// Handles a run that ended without a complete answer; the request may have
+  /// run.
   void OnBroken(CallId id, const char* reason);
   void Retry(CallId id);
   void ReleaseEngine(Call& call);
--- a/src/nodes/operatorapi.h
+++ b/src/nodes/operatorapi.h
@@ -11,12 +11,12 @@
 
 namespace papayarack::nodes {
 
-/// Answers operators' calls with the coordination group's word. Thread safety:
-/// none, the loop's thread.
+/// Serves operators' calls by forwarding them to the coordination group. Thread
+/// safety: none, the loop's thread.
 class OperatorApi {
  public:
-  /// Listens at once where the options name an address for it. Precondition:
-  /// `runtime` outlives it, and watches before the first call comes.
+  /// Starts listening if the options name an address for it. Precondition:
+  /// `runtime` outlives it and watches the fleet before the first call.
   explicit OperatorApi(NodeRuntime& runtime);
 
  private:
--- a/src/nodes/ownedengine.h
+++ b/src/nodes/ownedengine.h
@@ -10,18 +10,18 @@
 
 namespace papayarack::nodes {
 
-/// An engine that a process owns, as operators are told.
+/// An engine that a process owns, as shown to operators.
 struct OwnedEngineState {
   std::string address;
   std::string id;  ///< Empty while it takes no new work.
   std::string service;
   bool same_vm = false;  ///< Whether the owner runs on the engine's VM.
-  bool open = false;     ///< Whether slots are given.
-  Duration owned{0};     ///< For how long.
+  bool open = false;     ///< Whether slots are granted.
+  Duration owned{0};     ///< Time since the takeover.
   slots::SlotLoad load;
 };
 
-/// The engines as a JSON array, one object each, times in milliseconds. Thread
+/// Writes the engines as a JSON array of objects, times in milliseconds. Thread
 /// safety: any thread.
 std::string WriteOwnedEngines(std::span<const OwnedEngineState> engines);
 
--- a/src/nodes/pendingacquirequeue.h
+++ b/src/nodes/pendingacquirequeue.h
@@ -10,39 +10,39 @@
 
 namespace papayarack::nodes {
 
-/// An ask for a slot that came before its engine's owner could answer it.
+/// A slot request that came before the owner of the engine could answer it.
 struct PendingAcquire {
   transport::StreamId stream = 0;
   AcquireSlot ask;
-  /// Its wait counts from here, not from when it is let on.
+  /// Its wait is counted from here, not from when it leaves the queue.
   Time asked{};
 };
 
-/// Asks that wait for the first report of an engine on another VM.
+/// Slot requests that wait for the first report of an engine on another VM.
 ///
-/// Load pattern: a process takes engines over, in the middle of a wave, from an
-/// owner that is lost. Until the engine's first report nobody can tell which
-/// slots are free: granted then, an engine is filled twice; refused, callers
-/// are turned away beside engines that are idle. A report takes one round trip,
-/// so asks wait for it; when it does not come, whoever asks is told that nobody
-/// owns the engine yet, and uses a share of its slots. Bounded in number.
-/// Thread safety: none.
+/// Load pattern: a process takes over engines of a lost owner during a load
+/// peak. Until the first report of an engine its free slots are unknown:
+/// granting would overload the engine, refusing would turn callers away from
+/// idle engines. A report takes one round trip, so requests wait for it. If it
+/// does not come, the requester is told that the engine has no owner yet, and
+/// uses a share of its slots. Bounded in number. Thread safety: none.
 class PendingAcquireQueue {
  public:
-  /// Takes an ask; false when too many wait.
+  /// Queues a request; false when the queue is full.
   bool Offer(transport::StreamId stream, const AcquireSlot& ask, Time now);
-  /// Everything that waits, oldest first.
+  /// Removes all requests, oldest first.
   std::vector<PendingAcquire> TakeAll();
-  /// What has waited long enough, oldest first.
+  /// Removes the requests that have waited for kMaxWait, oldest first.
   std::vector<PendingAcquire> TakeExpired(Time now);
-  /// Its requester is gone. True when it waited here.
+  /// Removes the request of a requester that is gone. False when it is not in
+  /// the queue.
   bool Remove(transport::StreamId stream);
   bool Empty() const { return this->waiting.empty(); }
 
-  /// Thirty round trips within a region; half of the time after which whoever
-  /// asks takes the owner for frozen.
+  /// Thirty round trips within a region; half of the time after which the
+  /// requester assumes that the owner is frozen.
   static constexpr std::chrono::milliseconds kMaxWait{60};
-  /// Far more than one engine's callers ask in that time.
+  /// Far more than the requests for one engine in that time.
   static constexpr std::size_t kMaxPending = 256;
 
  private:
--- a/src/nodes/plainresponses.h
+++ b/src/nodes/plainresponses.h
@@ -6,7 +6,7 @@
 #include "global/resultcode.h"
 #include "http/httpserver.h"
 
-/// Answers that a process makes itself, without an engine's.
+/// HTTP answers that a process creates itself, without an engine.
 namespace papayarack::nodes {
 
 inline constexpr int kOk = 200;
@@ -17,15 +17,15 @@
 inline constexpr int kTooMany = 429;
 inline constexpr int kServiceUnavailable = 503;
 
-/// Retry-After of a refusal that has no better figure, in seconds: an election
+/// Retry-After, in seconds, of a refusal without a better estimate: an election
 /// takes 0.6 to 1.2 s.
 inline constexpr const char* kRetryAfter = "0.8";
 
-/// An answer without a body; a refusal says when to come back. Thread safety of
+/// An answer without a body; 429 and 503 get a Retry-After. Thread safety of
 /// these functions: any thread.
 http::HttpResponse EmptyResponse(int status);
 http::HttpResponse JsonResponse(std::string body);
-/// The status for a call whose answer is only its result.
+/// The HTTP status for a result; `success` is used for kOk.
 int HttpStatusOf(ResultCode code, int success);
 
 }  // namespace papayarack::nodes
--- a/src/nodes/slotmessages.h
+++ b/src/nodes/slotmessages.h
@@ -6,18 +6,18 @@
 
 #include "global/messagecodec.h"
 
-/// Between an entry and the process that owns an engine's slots. The stream of
-/// an ask stays open while the slot is wanted or used: its end, however it
-/// comes, gives the slot back, so no slot is lost with an entry or a
-/// connection.
+/// Messages between an entry and the process that owns an engine's slots. The
+/// stream of a request stays open while the slot is wanted or used. The slot is
+/// released when the stream ends for any reason, so no slot is lost with an
+/// entry or a connection.
 namespace papayarack::nodes {
 
 struct AcquireSlot {
-  std::string request;  ///< Id of the request, for the log.
+  std::string request;  ///< Request id, for the log.
   std::string engine_id;
   std::int32_t priority = 0;
-  std::uint32_t wait_ms = 0;  ///< Longest useful wait from now.
-  /// One process may own several engines; an earlier version names none.
+  std::uint32_t wait_ms = 0;  ///< Maximum useful wait from now.
+  /// One process may own several engines; earlier versions leave it empty.
   std::string engine_address;
   MSGPACK_DEFINE(request, engine_id, priority, wait_ms, engine_address)
 };
@@ -26,7 +26,7 @@
   kGranted = 0,
   kBusy = 1,
   kClosed = 2,
-  kNotOwner = 3,  ///< An earlier version takes it for kClosed.
+  kNotOwner = 3,  ///< Earlier versions treat it as kClosed.
 };
 
 struct SlotReply {
@@ -36,7 +36,7 @@
   std::uint32_t batch = 0;
   std::uint32_t slots = 0;
   std::uint32_t expected_wait_ms = 0;
-  /// As in coordination::EngineInstance; a gate knows it before the list.
+  /// As in coordination::EngineInstance; a gate knows it before the list does.
   std::uint64_t engine_started_ms = 0;
   MSGPACK_DEFINE(verdict, online, waiting, batch, slots, expected_wait_ms,
                  engine_started_ms)
--- a/src/nodes/startupqueue.h
+++ b/src/nodes/startupqueue.h
@@ -9,44 +9,43 @@
 
 namespace papayarack::nodes {
 
-/// A request that came before this process knew the configuration.
+/// A request that arrived before this process knew the configuration.
 struct EarlyRequest {
   http::ExchangeId exchange = 0;
   http::HttpRequest request;
-  /// Its deadline and its first-token target count from here, not from when it
-  /// is let on.
+  /// Its deadline and its first-token target are counted from here, not from
+  /// when it leaves the queue.
   Time arrived{};
 };
 
 /// Requests that wait for a process that has just started.
 ///
 /// Load pattern: all processes are killed at once; callers whose connections
-/// broke come back while a leader is elected and the first configuration is
-/// read. Refused then, they return together into a queue that is longer still.
-/// Held for part of their first-token target
-/// they are served in time. Only a process that has just started holds: one
-/// that cannot reach a leader for longer refuses at once. Bounded in number and
-/// bytes. Thread safety: none.
+/// broke return while a leader is elected and the first configuration is read.
+/// If refused, they return together to an even longer queue; if held for part
+/// of their first-token target, they are served in time. Only a process that
+/// has just started holds requests: one that cannot reach a leader for longer
+/// refuses at once. Bounded in number and bytes. Thread safety: none.
 class StartupQueue {
  public:
   explicit StartupQueue(Time started) : started(started) {}
 
-  /// Takes a request; false when it is to be refused now, and is untouched.
+  /// Queues a request; false when it must be refused now, and is unchanged.
   bool Offer(http::ExchangeId exchange, http::HttpRequest& request, Time now);
-  /// Everything that waits, oldest first.
+  /// Removes all requests, oldest first.
   std::vector<EarlyRequest> TakeAll();
-  /// What has waited long enough.
+  /// Removes the requests that have waited for kMaxWait.
   std::vector<EarlyRequest> TakeExpired(Time now);
-  /// Its caller is gone. True when it waited here.
+  /// Removes the request of a caller that is gone. False when it is not queued.
   bool Remove(http::ExchangeId exchange);
   bool Empty() const { return this->waiting.empty(); }
 
-  /// After this long a process counts as cut off rather than as starting: an
-  /// election after a start takes 150 to 300 ms, a second one as long again.
+  /// After this time a process is considered disconnected rather than starting:
+  /// an election after a start takes 150 to 300 ms, a second one as long again.
   static constexpr std::chrono::milliseconds kStartTime{1000};
-  /// Within a first-token target, with time left for the run.
+  /// Less than a first-token target, which leaves time for the run.
   static constexpr std::chrono::milliseconds kMaxWait{200};
-  /// Far more than come to one entry in that time.
+  /// Far more than arrive at one entry in that time.
   static constexpr std::size_t kMaxRequests = 256;
   static constexpr std::size_t kMaxBytes = 4U << 20U;
 
--- a/src/nodes/storenode.h
+++ b/src/nodes/storenode.h
@@ -15,12 +15,12 @@
   StoreNode(const StoreNode&) = delete;
   StoreNode& operator=(const StoreNode&) = delete;
 
-  /// Hands leadership and engines on.
+  /// Transfers leadership and releases engines.
   void BeginLeave() {
     this->store.HandOver();
     this->host.BeginLeave();
   }
-  /// True when nobody uses a slot that it gave.
+  /// True when no slot is in use or requested.
   bool Drained() const { return this->host.Drained(); }
 
  private:
--- a/src/nodes/tests/batchfixtures.h
+++ b/src/nodes/tests/batchfixtures.h
@@ -8,7 +8,7 @@
 
 namespace papayarack::nodes {
 
-/// A dialect without words of its own: answers are known by the header "Id".
+/// A minimal dialect that identifies answers by the header "Id".
 inline Dialect MakeBatchDialect() {
   Dialect dialect;
   dialect.identity = [](const std::string& id) {
--- a/src/nodes/tests/batchrunner_tests.cpp
+++ b/src/nodes/tests/batchrunner_tests.cpp
@@ -20,11 +20,11 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kTick{5};
-/// Far longer than anything here takes.
+/// Far longer than any step here takes.
 constexpr milliseconds kTimeout{8000};
 constexpr milliseconds kAmpleTime{60000};
 
-/// An engine whose answer to each item is one event, whole or not ended yet.
+/// An engine that answers each item with one event.
 class Engine {
  public:
   explicit Engine(asio::io_context& context)
@@ -34,8 +34,8 @@
     return "127.0.0.1:" + std::to_string(this->server.port());
   }
 
-  std::string text = "made";  ///< Of the event.
-  bool ends = true;           ///< Whether the answer ends behind it.
+  std::string text = "made";  ///< Text of the event.
+  bool ends = true;           ///< Whether the answer ends after it.
   std::size_t asked = 0;
 
  private:
@@ -59,7 +59,7 @@
   http::HttpServer server;
 };
 
-/// The job group's leader as a runner sees it; the test answers.
+/// Stand-in for the job group's leader; the test gives the answers.
 class Leader {
  public:
   struct Pull {
@@ -118,9 +118,9 @@
 
   std::vector<Pull> pulls;
   std::vector<Report> reports;
-  std::set<std::string> listed;  ///< Items of reports that were taken.
+  std::set<std::string> listed;  ///< Items of accepted reports.
   std::size_t reports_to_refuse = 0;
-  bool holds_reports = false;  ///< Without an answer, until AnswerReports.
+  bool holds_reports = false;  ///< Answered by AnswerReports only.
   std::function<void(Pull&)> on_pull = [](Pull&) {};
 
  private:
@@ -171,7 +171,7 @@
   return search;
 }
 
-/// A runner between an engine and a leader.
+/// A runner connected to an engine and a leader.
 struct RunnerFixture {
   explicit RunnerFixture(std::uint32_t slots) {
     this->desk.SetSlots(slots);
@@ -192,7 +192,7 @@
   void RunFor(milliseconds time) {
     this->RunUntil([] { return false; }, time);
   }
-  /// Online requests take `count` slots.
+  /// Fills `count` slots with online requests.
   void Occupy(std::uint32_t count) {
     for (std::uint32_t i = 0; i < count; ++i) {
       const Time now = MonotonicNow();
@@ -226,12 +226,11 @@
 
 }  // namespace
 
-// Symptom: gates that could not report for a moment send ever larger reports
-// without a pause, until the links to the leader carry nothing else. Sequence:
-// a report fails; the next one is sent at once, with all that ended meanwhile,
-// takes longer and fails as well. Cause: neither the size of a report nor the
-// pace of the attempts was bounded.
-TEST_CASE("reports are bounded in size, and in pace while they fail") {
+// Guards against gates that, after failed reports, send ever larger ones
+// without a pause until they saturate the links to the leader: a failed report
+// was repeated at once together with everything that had ended meanwhile, with
+// no bound on its size or rate.
+TEST_CASE("reports are bounded in size and, while they fail, in rate") {
   constexpr std::uint32_t kItems = 6;
   constexpr std::size_t kRefused = 4;
   RunnerFixture fixture(kItems);
@@ -247,9 +246,9 @@
   const auto all_listed = [&] {
     return fixture.leader.listed.size() == kItems;
   };
-  /// What a report has besides the texts.
+  /// Bytes of a report besides the texts.
   constexpr std::size_t kMargin = 1000;
-  SECTION("several texts, one after the other") {
+  SECTION("several texts are split over reports") {
     fixture.engine.text = std::string(BatchRunner::kMaxReportBytes / 3, 't');
     fixture.leader.reports_to_refuse = kRefused;
     REQUIRE(fixture.RunUntil(all_listed));
@@ -264,23 +263,23 @@
     }
     CHECK(fixture.RunUntil([&] { return fixture.runner.HeldCount() == 0; }));
   }
-  SECTION("a text larger than the bound goes alone") {
+  SECTION("a text larger than the bound is sent alone") {
     fixture.engine.text = std::string(BatchRunner::kMaxReportBytes + 1, 't');
     REQUIRE(fixture.RunUntil(all_listed));
     for (const Leader::Report& report : fixture.leader.reports) {
       CHECK(report.items.size() == 1);
     }
   }
-  SECTION("nothing waits when they succeed") {
+  SECTION("reports are not delayed when they succeed") {
     const Time start = MonotonicNow();
     REQUIRE(fixture.RunUntil(all_listed));
     CHECK(MonotonicNow() - start < milliseconds(1000));
   }
 }
 
-// Guards against gates that make a slow leader slower: each copy of a report
+// Guards against gates that slow down a slow leader: each copy of a report
 // costs it as much as the first.
-TEST_CASE("a report is not sent again while its leader is there") {
+TEST_CASE("a report is not repeated while the leader is connected") {
   constexpr milliseconds kLateAnswer{3500};
   RunnerFixture fixture(1);
   fixture.leader.holds_reports = true;
@@ -299,11 +298,11 @@
   CHECK(fixture.leader.reports.size() == 1);
 }
 
-// Symptom: items that were handed back begin from nothing at the next gate, and
-// are late. Sequence: a gate hands an item back with what its run has made; the
-// pull that carries it is refused, or given up for a newer one. Cause: what a
-// pull carries was forgotten when it left, not when it was answered.
-TEST_CASE("what a pull hands back goes with the next one unless it arrived") {
+// Guards against returned items that start over at the next gate and are late:
+// a pull that carries a returned item with its partial text is refused or
+// cancelled, and the item was dropped when the pull was sent instead of when it
+// was answered.
+TEST_CASE("unacknowledged returns of a pull are sent again with the next one") {
   RunnerFixture fixture(1);
   fixture.engine.ends = false;
   const milliseconds late(-1000);
@@ -314,7 +313,7 @@
   };
   REQUIRE(fixture.RunUntil([&] { return fixture.engine.asked == 1; }));
   fixture.RunFor(milliseconds(50));
-  // The online request takes the slot; the late item goes back 0.4 s later.
+  // The online request takes the slot; the late item is returned 0.4 s later.
   fixture.Occupy(1);
   const auto handed_back = [&] {
     return !fixture.leader.pulls.back().asked.returned.empty();
@@ -330,27 +329,27 @@
   check();
   const std::size_t pulls = fixture.leader.pulls.size();
   const auto next_pull = [&] { return fixture.leader.pulls.size() > pulls; };
-  SECTION("after a refusal") {
+  SECTION("after the pull was refused") {
     fixture.leader.Refuse(fixture.leader.pulls.back());
     REQUIRE(fixture.RunUntil(next_pull));
     check();
   }
-  SECTION("after it was given up for a newer one") {
+  SECTION("after the pull was replaced by a newer one") {
     fixture.Leave(1);
     REQUIRE(fixture.RunUntil(next_pull));
     check();
     CHECK(fixture.leader.pulls.back().asked.room == 1);
   }
-  SECTION("but not once it was answered") {
+  SECTION("not after the pull was answered") {
     fixture.leader.Answer(fixture.leader.pulls.back(), {});
     REQUIRE(fixture.RunUntil(next_pull));
     CHECK(fixture.leader.pulls.back().asked.returned.empty());
   }
 }
 
-// Symptom and cause as for reports: what a gate could not hand back for a
-// moment leaves in one ever larger pull.
-TEST_CASE("what a pull hands back is bounded") {
+// Guards against ever larger pulls after a gate could not return items, as for
+// reports.
+TEST_CASE("the bytes returned by one pull are bounded") {
   constexpr std::uint32_t kItems = 4;
   constexpr std::size_t kTextBytes = 100'000;
   RunnerFixture fixture(kItems);
@@ -378,7 +377,7 @@
         CHECK(item.partial.text.size() == kTextBytes);
         returned.insert(item.item.item);
       }
-      // What waits for the next pull is still this gate's.
+      // Items that wait for the next pull are still listed as held.
       CHECK((returned.empty() ||
              pull.holding.size() + returned.size() == kItems));
     }
@@ -388,11 +387,11 @@
       [&] { return fixture.leader.pulls.back().asked.returned.empty(); }));
 }
 
-// Symptom: an item is run from its beginning though this gate has a part of
-// it, and is given to another gate while it runs here. Sequence: the item waits
-// to be handed back with the next pull when the answer to the one under way
-// brings it here again. Cause: both were kept, the item and its return.
-TEST_CASE("an item that comes back before it was handed back is held once") {
+// Guards against an item that starts over although this gate has a part of it,
+// and is leased to another gate while it runs here: the answer to the pull in
+// flight leases it here again while its return waits for the next pull, and
+// both were kept.
+TEST_CASE("an item leased again before its return was sent is held once") {
   const milliseconds late(-1000);
   RunnerFixture fixture(2);
   fixture.engine.ends = false;
@@ -421,13 +420,11 @@
   CHECK(after.back().returned.front().partial.text == fixture.engine.text);
 }
 
-// Symptom: while online requests come and go, items reach their gates late or
-// not at all, though the links carry them again and again. Sequence: the leader
-// leases items to a gate and answers with their bodies; before the answer is
-// whole the gate's room changes by one; it cancels the pull and asks anew.
-// Cause: any change of room, and anything to hand back, gave up a pull, however
-// much was on its way.
-TEST_CASE("a pull whose answer may be on its way is not given up") {
+// Guards against items that arrive late or never while online requests come and
+// go: the leader answers a pull with leased items; before the answer is
+// complete the number of free slots changes by one, and the gate cancels the
+// pull and sends a new one.
+TEST_CASE("a pull whose answer may be in flight is not cancelled") {
   constexpr std::uint32_t kSlots = 4;
   RunnerFixture fixture(kSlots);
   const auto pulls = [&]() -> std::vector<Leader::Pull>& {
@@ -442,14 +439,14 @@
     fixture.leader.Answer(pulls()[pull], {{MakeItem("1", kAmpleTime)}, {}});
     CHECK(fixture.RunUntil([&] { return fixture.leader.listed.size() == 1; }));
   };
-  SECTION("because room shrank just now") {
+  SECTION("not at once when room shrinks") {
     fixture.Occupy(1);
     fixture.RunFor(BatchRunner::kAnswerTime / 2);
     CHECK_FALSE(pulls()[0].cancelled);
     CHECK(pulls().size() == 1);
     hand_out(0);
   }
-  SECTION("because room grew, which a further pull can fill") {
+  SECTION("not when room grows, which the next pull can fill") {
     fixture.Occupy(1);
     fixture.Leave(1);
     fixture.desk.SetSlots(kSlots + 2);
@@ -457,14 +454,14 @@
     CHECK_FALSE(pulls()[0].cancelled);
     hand_out(0);
   }
-  SECTION("though the leader, which may hold it, hears of less room soon") {
+  SECTION("but the leader soon learns of less room") {
     fixture.Occupy(1);
     REQUIRE(pulled(2));
     CHECK(pulls()[1].at - pulls()[0].at > BatchRunner::kAnswerTime / 2);
     CHECK(pulls()[1].at - pulls()[0].at < 3 * BatchRunner::kAnswerTime);
     CHECK(pulls()[1].asked.room == kSlots - 1);
   }
-  SECTION("while room goes up and down by one all the time") {
+  SECTION("not while room keeps changing by one") {
     constexpr auto kLate = BatchRunner::kAnswerTime / 2;
     bool occupied = false;
     const bool arrived = fixture.RunUntil([&] {
@@ -479,9 +476,9 @@
     });
     CHECK(arrived);
   }
-  SECTION("and an answer that is longer under way arrives in the end") {
-    // Each answer takes longer than the first pull may, and room shrinks at
-    // each pull.
+  SECTION("and a slower answer arrives eventually") {
+    // Each answer takes longer than the first pull may, and the number of free
+    // slots shrinks at each pull.
     constexpr auto kLate = 3 * BatchRunner::kAnswerTime;
     const bool arrived = fixture.RunUntil([&] {
       const std::uint32_t room = fixture.desk.BatchRoom();
@@ -500,10 +497,10 @@
   }
 }
 
-// Symptom: items wait for seconds beside an engine that is gone. Sequence: the
-// engine of a gate stops answering while items run and wait there. Cause: the
-// gate kept what it had, for an engine that the list still named.
-TEST_CASE("what an engine that is gone held goes to others at once") {
+// Guards against items that wait for seconds at an engine that is gone: the
+// engine of a gate stops answering, and the gate kept its items because the
+// list still named the engine.
+TEST_CASE("items of a lost engine are returned at once") {
   RunnerFixture fixture(2);
   fixture.engine.ends = false;
   fixture.leader.on_pull = [&](Leader::Pull& pull) {
@@ -515,14 +512,14 @@
   REQUIRE(fixture.RunUntil([&] { return fixture.engine.asked == 2; }));
   fixture.RunFor(milliseconds(50));
   fixture.runner.SetEngine("");
-  fixture.runner.HandBackAll();
+  fixture.runner.ReturnAll();
   CHECK(fixture.runner.HeldCount() == 0);
   REQUIRE(fixture.RunUntil(
       [&] { return fixture.leader.pulls.back().asked.returned.size() == 2; }));
   const batches::PullItems& pull = fixture.leader.pulls.back().asked;
   CHECK(pull.room == 0);
   CHECK(pull.returned[0].partial.last_event == 1);
-  SECTION("and a gate that is not leaving takes items again later") {
+  SECTION("and a gate that is not leaving pulls items again later") {
     fixture.leader.Answer(fixture.leader.pulls.back(), {});
     fixture.runner.SetEngine("e");
     REQUIRE(fixture.RunUntil(
@@ -530,9 +527,10 @@
   }
 }
 
-// An answer to a pull that asked for nothing carries no items, so nothing is
-// lost with it, and the leader would hold it for a second though there is room.
-TEST_CASE("a pull without room is given up as soon as there is room") {
+// The answer to a pull that requested nothing carries no items, so cancelling
+// it loses nothing; the leader would delay it for a second although there are
+// free slots.
+TEST_CASE("a pull without room is cancelled as soon as there is room") {
   RunnerFixture fixture(1);
   fixture.Occupy(1);
   REQUIRE(fixture.RunUntil([&] { return fixture.leader.pulls.size() == 1; }));
--- a/src/nodes/tests/crashdetector_tests.cpp
+++ b/src/nodes/tests/crashdetector_tests.cpp
@@ -14,7 +14,7 @@
 
 constexpr Fingerprint kRequest{1, 1};
 
-/// Ports of this machine that refuse connections, one after the other.
+/// Returns ports that refuse connections, one after another.
 placement::EngineStart Gone(asio::io_context& context) {
   asio::ip::tcp::acceptor closed(context,
                                  {asio::ip::make_address("127.0.0.1"), 0});
@@ -24,9 +24,9 @@
 
 }  // namespace
 
-// Guards against callers who are refused for a connection that was reset, where
-// the replica goes on.
-TEST_CASE("an entry tells crashes from other ends of a connection") {
+// Guards against quarantining a request because its connection was reset while
+// the replica keeps running.
+TEST_CASE("an entry distinguishes crashes from other broken connections") {
   asio::io_context context;
   transport::PeerClient peers(context);
   coordination::FleetWatch fleet(context, peers, {}, {},
@@ -38,19 +38,19 @@
   };
   constexpr int kCrashes = 3;
 
-  SECTION("by the port that refuses, and acts on them without a leader") {
+  SECTION("a refused port counts as a crash, also without a leader") {
     for (int i = 0; i < kCrashes; ++i) {
       CHECK_FALSE(watch.Quarantined(kRequest));
       watch.ConnectionBroke(kRequest, "r", Gone(context));
       pause();
     }
     CHECK(watch.Quarantined(kRequest));
-    SECTION("until a replica runs the request to the end") {
+    SECTION("a completed run lifts the quarantine") {
       watch.Survived(kRequest);
       CHECK_FALSE(watch.Quarantined(kRequest));
     }
   }
-  SECTION("not where the replica still listens") {
+  SECTION("no crash is counted while the replica still listens") {
     asio::ip::tcp::acceptor open(context,
                                  {asio::ip::make_address("127.0.0.1"), 0});
     const std::string address =
@@ -61,7 +61,7 @@
     }
     CHECK_FALSE(watch.Quarantined(kRequest));
   }
-  SECTION("and holds nothing against what a replica has run before") {
+  SECTION("a request that has completed before is not quarantined") {
     watch.Survived(kRequest);
     for (int i = 0; i < kCrashes; ++i) {
       watch.ConnectionBroke(kRequest, "r", Gone(context));
--- a/src/nodes/tests/fleetengines_tests.cpp
+++ b/src/nodes/tests/fleetengines_tests.cpp
@@ -14,9 +14,9 @@
 
 }  // namespace
 
-// Symptom: a request runs at a replica that no route leads to. Sequence: the
-// platform lists a replica of a service that the configuration does not name.
-// Cause: the replica is among the options of some service of a route.
+// Guards against a request that runs at a replica of a service that no route
+// uses: the platform also lists replicas of services that the configuration
+// does not name.
 TEST_CASE("only listed engines of the configuration's services are options") {
   routes::FleetConfiguration configuration;
   configuration.services.resize(2);
@@ -60,7 +60,8 @@
   return node;
 }
 
-/// Two engines, no process beside either, two stores, a leader just heard.
+/// Two engines without a local process, two stores, and a leader heard just
+/// now.
 coordination::FleetKnowledge FleetWithoutGates(Time now) {
   coordination::FleetKnowledge fleet;
   fleet.engines = {Engine("i-1", "llm", "10.0.0.1:80"),
@@ -80,10 +81,10 @@
 
 }  // namespace
 
-// Symptom: accepted batch items are never run, and callers are late, on a fleet
-// whose engines run where papayarack has no process. Cause: only a process
-// beside an engine owned its slots.
-TEST_CASE("an engine without a process beside it has a host") {
+// Guards against batch items that never run, and late online requests, in a
+// fleet whose engines run on VMs without a papayarack process: only a local
+// process could own an engine's slots.
+TEST_CASE("an engine without a local process has a host") {
   const Time now = Time(std::chrono::seconds(100));
   auto fleet = FleetWithoutGates(now);
   routes::FleetConfiguration configuration;
@@ -102,7 +103,7 @@
       }));
     }
   }
-  SECTION("a gate owns its engine, unless it is away") {
+  SECTION("a gate owns its engine, unless it is leaving") {
     auto gate = Node("gate-1", coordination::NodeRole::kGate);
     gate.engine_address = "10.0.0.1:80";
     fleet.nodes.push_back(gate);
@@ -112,25 +113,25 @@
     CHECK(OwnedBy(fleet, "store-1", now) + OwnedBy(fleet, "store-2", now) == 2);
     CHECK(options(now)[0].gate != gate.address);
   }
-  SECTION("a store that is away or is being emptied owns none") {
+  SECTION("a store that is leaving or being emptied owns none") {
     fleet.nodes[0].away = true;
     CHECK(OwnedBy(fleet, "store-2", now) == 2);
     fleet.leaving = {"store-2"};
     CHECK(OwnedBy(fleet, "store-2", now) == 0);
   }
-  SECTION("entries own engines where no store is there") {
+  SECTION("entries own engines where there is no store") {
     fleet.nodes = {Node("entry-1", coordination::NodeRole::kEntry)};
     CHECK(OwnedBy(fleet, "entry-1", now) == 2);
   }
-  SECTION("an engine that drains keeps its host and moves no other") {
+  SECTION("a draining engine keeps its host and moves no other") {
     const auto before = EnginesOwnedBy(fleet, "store-1:7720", now);
     fleet.engines[0].draining = true;
     CHECK(EnginesOwnedBy(fleet, "store-1:7720", now).size() == before.size());
   }
-  // Symptom: two processes fill one engine. Sequence: a host is cut off from
-  // the others, which hear of its silence and name another. Cause: it goes on
-  // by a list that nobody confirms any more.
-  SECTION("no host owns an engine by a list that is too old, or not whole") {
+  // Guards against two processes that fill one engine: a host is cut off, the
+  // others assign its engine to another host, and it continues with a list that
+  // no leader confirms.
+  SECTION("no host owns an engine while the list is too old or incomplete") {
     const Time late = now + kHostListValidity + std::chrono::milliseconds(1);
     CHECK(OwnedBy(fleet, "store-1", late) == 0);
     CHECK(OwnedBy(fleet, "store-2", late) == 0);
@@ -143,9 +144,9 @@
     fleet.names_hosts = false;
     CHECK(OwnedBy(fleet, "store-1", now) == 0);
   }
-  // Symptom: an entry refuses everybody beside idle engines. Sequence: no
-  // process owns an engine, and there are many more entries than slots. Cause:
-  // none of the slots is this entry's.
+  // Guards against an entry that refuses all requests while engines are idle:
+  // no process owns an engine, and there are more entries than slots, so that
+  // this entry's share is zero.
   SECTION("each entry may use some engine") {
     fleet.nodes.clear();
     fleet.entries = 100000;
@@ -157,11 +158,10 @@
   }
 }
 
-// Symptom: a batch item runs at a replica of a service that its route does not
-// lead to. Sequence: a replica is gone, a replica of another service gets its
-// address, and the list shows both for a while. Cause: the gate takes whatever
-// is listed at the address for the engine beside it.
-TEST_CASE("the engine beside a gate is one of the gate's service") {
+// Guards against a batch item that runs at a replica of another service: that
+// replica gets the address of a former one, and the list shows both for a
+// while.
+TEST_CASE("a gate's engine belongs to the gate's service") {
   const std::vector<coordination::EngineInstance> engines = {
       Engine("i-1", "other", "10.0.0.1:80"),
       Engine("i-2", "llm", "10.0.0.2:80"), Engine("i-3", "llm", "10.0.0.1:80")};
@@ -172,10 +172,10 @@
   CHECK(FindEngine(engines, "10.0.0.1:80", "")->id == "i-1");
 }
 
-// Symptom: a gate refuses everybody though its engine runs. Sequence: the
-// engine crashes and another start takes its address; the list shows both for
-// some seconds, the former first. Cause: the first at the address was taken.
-TEST_CASE("of two replicas at one address the one that runs is found") {
+// Guards against a gate that refuses all requests although its engine runs: the
+// engine crashed and restarted at the same address, and the list shows both for
+// some seconds, the former first.
+TEST_CASE("of two replicas at one address the running one is found") {
   const auto replica = [](const std::string& id, bool draining,
                           std::uint64_t started_ms) {
     coordination::EngineInstance engine;
@@ -186,12 +186,12 @@
     engine.started_ms = started_ms;
     return engine;
   };
-  SECTION("not the one that drains") {
+  SECTION("the one that is not draining") {
     const std::vector<coordination::EngineInstance> engines = {
         replica("i-1", true, 2000), replica("i-2", false, 1000)};
     CHECK(FindEngine(engines, "10.0.0.1:80", "llm")->id == "i-2");
   }
-  SECTION("and the one that started last, in any order") {
+  SECTION("the one started last, in any order") {
     std::vector<coordination::EngineInstance> engines = {
         replica("i-1", false, 1000), replica("i-2", false, 2000)};
     CHECK(FindEngine(engines, "10.0.0.1:80", "llm")->id == "i-2");
--- a/src/nodes/tests/listpolling_tests.cpp
+++ b/src/nodes/tests/listpolling_tests.cpp
@@ -12,7 +12,7 @@
 
 Time At(int ms) { return Time(milliseconds(ms)); }
 
-/// The platform's list: what it takes in `burst_s` may come at once.
+/// The platform's rate-limited list; the calls of `burst_s` may come at once.
 struct LimitedList {
   double rate = 0;
   double burst_s = 1;
@@ -32,9 +32,9 @@
   }
 };
 
-/// How a reader acts. Anew: a refused page ends the reading and another begins
-/// a fixed pause after the former began. Paced: as ListPollSchedule and
-/// PageRetry say.
+/// How readers behave. kRestart: a refused page ends the read, and another
+/// starts a fixed time after its start. kPaced: according to ListPollSchedule
+/// and PageRetry.
 enum class Strategy { kRestart, kPaced };
 
 struct Reader {
@@ -57,19 +57,19 @@
   std::size_t replicas = 0;
   std::size_t pages = 0;
   double rate = 0;
-  bool leader = false;  ///< A leader that they do not hear reads as well.
+  bool leader = false;  ///< A leader that they do not hear also reads.
   double burst_s = 1;
 };
 
 struct Outcome {
-  std::size_t lists = 0;         ///< Whole readings.
-  std::size_t with_list = 0;     ///< Readers that got one or more.
-  std::size_t leader_lists = 0;  ///< Whole readings of the leader.
+  std::size_t lists = 0;         ///< Complete reads.
+  std::size_t with_list = 0;     ///< Readers with at least one list.
+  std::size_t leader_lists = 0;  ///< Complete reads of the leader.
   std::size_t refused = 0;
   double oldest_s = 0;  ///< At the end.
 };
 
-/// Plays readers that hear of no list from time 0 on, when theirs is fresh.
+/// Simulates readers that receive no list after time 0, when theirs is fresh.
 class Simulation {
  public:
   explicit Simulation(const Fleet& fleet)
@@ -77,7 +77,7 @@
         list{fleet.rate, fleet.burst_s, fleet.rate * fleet.burst_s, {}} {
     for (std::size_t i = 0; i <= fleet.readers; ++i) {
       this->readers.emplace_back(i + 1);
-      // Looks are spread over a tick, as the processes started so.
+      // Checks are spread over a tick, like the start times of the processes.
       this->Plan(At(static_cast<int>(i * 7 % 200)), i, false);
     }
   }
@@ -218,11 +218,10 @@
 
 }  // namespace
 
-// Symptom: after the leader is lost replicas that drain go on being used, by
-// every entry, for as long as no leader is heard. Sequence: all entries miss it
-// at the same moment and read the list of several pages; together that is more
-// than the platform takes; each is refused a page and throws away those before.
-// Cause: a second later all of them begin anew, whatever they make together.
+// Guards against draining replicas that stay in use by every entry while no
+// leader is heard: all entries miss it at the same moment and read the list of
+// several pages, which exceeds the platform's rate; each is refused a page,
+// drops those before it and starts over a second later.
 TEST_CASE("processes without a leader get lists") {
   SECTION("100 of them, 800 replicas") {
     const Fleet fleet{{}, 100, 800, 16, 105};
@@ -231,8 +230,8 @@
     CHECK(anew.oldest_s == 10);
     CHECK(Simulate(fleet, Strategy::kRestart, 60).lists == 0);
     CHECK(Simulate(fleet, Strategy::kPaced, 10).lists >= 40);
-    // A round of all is 1,600 calls at four fifths of 105 a second, 19 s, and a
-    // pause is up to a quarter longer.
+    // A round of all readers is 1,600 calls at four fifths of 105 a second, 19
+    // s, and an interval is up to a quarter longer.
     const Outcome later = Simulate(fleet, Strategy::kPaced, 60);
     CHECK(later.with_list == 100);
     CHECK(later.oldest_s < 25);
@@ -248,7 +247,7 @@
     CHECK(paced.refused * 10 < late.refused);
   }
   SECTION("24 of them, 200 replicas") {
-    // Whether a second's calls may come at once is the platform's choice.
+    // Platforms differ in whether the calls of a second may come at once.
     const double burst_s = GENERATE(1.0, 0.1);
     const Fleet fleet{{}, 24, 200, 4, 47, false, burst_s};
     for (const int seconds : {10, 60}) {
@@ -258,7 +257,7 @@
     }
     CHECK(Simulate(fleet, Strategy::kRestart, 60).oldest_s > 20);
   }
-  SECTION("a few of them as often as without a pace") {
+  SECTION("a few of them as often as without pacing") {
     const Fleet fleet{{}, 3, 10, 1, 47};
     const Outcome anew = Simulate(fleet, Strategy::kRestart, 10);
     const Outcome paced = Simulate(fleet, Strategy::kPaced, 10);
@@ -268,9 +267,9 @@
   }
 }
 
-// Symptom: the leader's list is older than it needs to be, and so is that of
-// everyone who hears it. Cause: processes that do not hear it use up the rate.
-TEST_CASE("a leader gets lists beside processes that do not hear it") {
+// Guards against a leader's list that is too old for all its readers: processes
+// that do not hear the leader use up the rate.
+TEST_CASE("a leader gets lists while processes that do not hear it read too") {
   const Fleet fleet = GENERATE(Fleet{{}, 24, 200, 4, 47, true},
                                Fleet{{}, 100, 800, 16, 105, true},
                                Fleet{{}, 100, 3000, 60, 210, true});
@@ -280,9 +279,9 @@
   CHECK(paced.with_list >= anew.with_list);
 }
 
-TEST_CASE("own readings keep to their share of the rate") {
+TEST_CASE("direct reads stay within their share of the rate") {
   const ListLoad load{100, 20, 10};
-  SECTION("with pauses that differ") {
+  SECTION("with intervals that differ") {
     std::vector<milliseconds> first;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       ListPollSchedule pace(seed);
@@ -302,14 +301,15 @@
     CHECK(first.back() > milliseconds(2000));
     CHECK(std::ranges::adjacent_find(first) == first.end());
   }
-  SECTION("never faster than one a second") {
+  SECTION("at most one a second") {
     const ListLoad small{100, 1, 1};
     ListPollSchedule pace(1);
     pace.Ended(small, true, 0, At(100));
     CHECK_FALSE(pace.Due(small, At(1099)));
     CHECK(pace.Due(small, At(1350)));
   }
-  SECTION("slower when more read than was thought, and back again") {
+  SECTION(
+      "slower when there are more readers than estimated, then recovering") {
     ListPollSchedule pace(1);
     pace.Ended(load, false, 3, At(0));
     CHECK_FALSE(pace.Due(load, At(4999)));
@@ -323,14 +323,14 @@
     }
     CHECK(pace.Due(load, At(3125)));
   }
-  SECTION("not slower for a list that is out of reach") {
+  SECTION("not slower when the list is unreachable") {
     ListPollSchedule pace(1);
     pace.Ended(load, false, 0, At(0));
     CHECK(pace.Due(load, At(3125)));
   }
 }
 
-TEST_CASE("the leader's pause grows with the list") {
+TEST_CASE("the leader's interval grows with the list") {
   CHECK(LeaderListInterval(40, 1) == milliseconds(50));
   CHECK(LeaderListInterval(40, 60) == milliseconds(3000));
   CHECK(LeaderListInterval(ListRate(0), 1) == milliseconds(50));
@@ -338,20 +338,20 @@
   CHECK(ListRate(-1) == kDefaultListRate);
 }
 
-TEST_CASE("a list is not too old while the leader keeps to its pause") {
+TEST_CASE("the maximum list age covers the leader's interval") {
   CHECK(MaxListAge({47, 25, 4}) == milliseconds(1700));
   CHECK(MaxListAge({40, 100, 60}) == milliseconds(4200));
 }
 
-TEST_CASE("those that may read are guessed from the replicas") {
+TEST_CASE("the number of readers is estimated from the replicas") {
   CHECK(EstimateReaders(0, 0) == 1);
   CHECK(EstimateReaders(5, 10) == 5);
   CHECK(EstimateReaders(3, 200) == 25);
   CHECK(EstimateReaders(3, 3000) == 100);
 }
 
-TEST_CASE("a page is asked for again a few times, in bounded time") {
-  SECTION("with pauses that grow") {
+TEST_CASE("a page is retried a few times, in bounded time") {
+  SECTION("with growing pauses") {
     PageRetry retry(At(0));
     const std::vector<int> longest = {100, 200, 400, 800, 800, 800};
     for (const int ms : longest) {
@@ -361,16 +361,16 @@
     retry.PageRead();
     CHECK(retry.Again(At(0), 0.0) == milliseconds(50));
   }
-  SECTION("not when the pages before would be too old") {
+  SECTION("not when the earlier pages would be too old") {
     PageRetry retry(At(0));
     CHECK(retry.Again(At(2800), 1.0).has_value());
     CHECK_FALSE(retry.Again(At(2900), 1.0).has_value());
   }
 }
 
-// Symptom: entries get no list while they hear no leader, because each of some
-// thousand gates searches the whole of it every few seconds as well.
-TEST_CASE("searches take little of the rate while there are many") {
+// Guards against entries that get no list while they hear no leader, because
+// thousands of gates each search the whole list every few seconds.
+TEST_CASE("many searches use little of the rate") {
   SearchBackoff pace(7);
   CHECK(pace.Pages() == 1);
   for (int i = 0; i < 10; ++i) {
--- a/src/nodes/tests/listreading_tests.cpp
+++ b/src/nodes/tests/listreading_tests.cpp
@@ -11,8 +11,9 @@
 
 using EngineList = std::vector<coordination::EngineInstance>;
 
-/// A stand-in list. A page is its ids, in words, and after a bar the path of
-/// the next page; an id that ends in "!" drains.
+/// A stand-in for the platform's list. A page is a list of ids separated by
+/// spaces, then a bar and the path of the next page; an id that ends in "!" is
+/// draining.
 struct PagedList {
   PagedList()
       : server(this->context, Endpoint{"127.0.0.1", 0}, {}, this->Handlers()) {
@@ -65,7 +66,7 @@
     return handlers;
   }
 
-  /// Runs one reading; how long it took is in `took`.
+  /// Runs one read and sets `took` to its duration.
   std::optional<EngineList> Read(const ListReadLimits& extent = {}) {
     std::optional<EngineList> result;
     int ended = 0;
@@ -113,18 +114,18 @@
 
 }  // namespace
 
-// Symptom: nobody gets a list of replicas while many read it. Sequence: page 2
-// is refused as the platform's rate is used up at that moment. Cause: the pages
-// before were thrown away and the reading given up.
-TEST_CASE("a refused page is asked for again, without those before") {
+// Guards against processes that get no list of replicas while many read it:
+// page 2 is refused as the platform's rate is used up, and the read was
+// abandoned with the pages before it.
+TEST_CASE("a refused page is retried without those before it") {
   PagedList list;
   list.refused_at = "/2";
   list.refusals = 1;
-  SECTION("refused over the rate") {
+  SECTION("refused by the rate limit") {
     CHECK(list.IdsOf(list.Read()) == kWhole);
     CHECK(list.reader.refused == 1);
   }
-  SECTION("failed for now") {
+  SECTION("failed temporarily") {
     list.refusal = 503;
     CHECK(list.IdsOf(list.Read()) == kWhole);
     CHECK(list.reader.refused == 0);
@@ -135,11 +136,11 @@
   CHECK(list.reader.pages == 3);
 }
 
-TEST_CASE("a reading ends in bounded time") {
+TEST_CASE("a read ends in bounded time") {
   PagedList list;
   list.refused_at = "/2";
   list.refusals = 1000;
-  SECTION("when a page is refused again and again") {
+  SECTION("when a page is refused repeatedly") {
     CHECK_FALSE(list.Read().has_value());
     CHECK(list.took < PageRetry::kMaxReadTime + std::chrono::seconds(1));
     CHECK(list.asked["/2"] <= static_cast<int>(PageRetry::kMaxRepeats) + 1);
@@ -152,12 +153,12 @@
     CHECK(list.took >= PageRetry::kMaxReadTime);
     CHECK(list.took < PageRetry::kMaxReadTime + std::chrono::seconds(1));
   }
-  SECTION("at once when another try would be answered the same") {
+  SECTION("at once when a retry would fail the same way") {
     list.refusal = 404;
     CHECK_FALSE(list.Read().has_value());
     CHECK(list.asked["/2"] == 1);
   }
-  SECTION("at once when the page cannot be read") {
+  SECTION("at once when the page cannot be parsed") {
     list.refusals = 0;
     list.pages["/2"] = "no end";
     CHECK_FALSE(list.Read().has_value());
@@ -171,17 +172,17 @@
   CHECK(list.reader.pages == 2);
 }
 
-// Symptom: one replica counts twice, and where one line of it drains it goes on
-// being used. Cause: a replica came to the list between the reading of two
-// pages, so that the last entry of the first page begins the second.
-TEST_CASE("an entry on two pages is given once, as the later page has it") {
+// Guards against a replica that is counted twice, and used although one of its
+// entries is draining: a replica is added to the list between two page reads,
+// so that the last entry of the first page starts the second.
+TEST_CASE("an entry on two pages is returned once, as on the later page") {
   PagedList list;
   list.pages["/2"] = "b! c d|3";
   CHECK(list.IdsOf(list.Read()) ==
         std::vector<std::string>{"a", "b!", "c", "d", "e"});
 }
 
-TEST_CASE("a search reads no more pages than it is to") {
+TEST_CASE("a search reads no more pages than its limit") {
   PagedList list;
   CHECK(list.IdsOf(list.Read({2, 0})) ==
         std::vector<std::string>{"a", "b", "c", "d"});
--- a/src/nodes/tests/loopdelaymonitor_tests.cpp
+++ b/src/nodes/tests/loopdelaymonitor_tests.cpp
@@ -6,16 +6,16 @@
 
 namespace papayarack::nodes {
 
-// Guards against a leader whose loop stands still and whose log cannot tell
-// that from having nothing to say.
-TEST_CASE("a loop that stands still is told from one that is idle") {
+// Guards against a leader whose blocked event loop looks like an idle one in
+// the log.
+TEST_CASE("a blocked loop is distinguished from an idle one") {
   asio::io_context context;
   Metrics metrics;
   LoopDelayMonitor watch(context, metrics);
   const auto delays = [&metrics] {
     return metrics.Exposition().find("loop_delays_total") != std::string::npos;
   };
-  SECTION("a handler that takes long is a delay") {
+  SECTION("a slow handler counts as a delay") {
     asio::post(context, [] {
       std::this_thread::sleep_for(2 * LoopDelayMonitor::kInterval +
                                   LoopDelayMonitor::kLongDelay);
@@ -24,7 +24,7 @@
                     LoopDelayMonitor::kLongDelay);
     CHECK(delays());
   }
-  SECTION("a timer that comes a little late is none") {
+  SECTION("a timer that runs a little late does not") {
     watch.Check(LoopDelayMonitor::kLongDelay / 2, LoopDelayMonitor::kInterval);
     CHECK_FALSE(delays());
   }
--- a/src/nodes/tests/nodes_tests.cpp
+++ b/src/nodes/tests/nodes_tests.cpp
@@ -12,7 +12,7 @@
 namespace papayarack::nodes {
 namespace {
 
-/// SlotReply before it told the start of the engine.
+/// SlotReply of versions without the start time of the engine.
 struct FormerReply {
   std::uint8_t verdict = 0;
   std::uint32_t online = 0;
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("a slot's verdict survives the wire") {
+TEST_CASE("a slot's verdict is encoded and decoded") {
   SlotReply reply;
   reply.verdict = static_cast<std::uint8_t>(SlotVerdict::kBusy);
   reply.expected_wait_ms = 88;
@@ -34,7 +34,7 @@
   CHECK(decoded.expected_wait_ms == 88);
 }
 
-TEST_CASE("a node shows what it knows of the fleet and what it moved") {
+TEST_CASE("a node exposes fleet and transport metrics") {
   NodeOptions options;
   options.role = coordination::NodeRole::kGate;
   options.peer_listen = {"127.0.0.1", 0};
@@ -47,16 +47,16 @@
   CHECK_FALSE(shows("papayarack_configuration_version"));
   runtime.Watch([](const coordination::FleetChange&) {});
   CHECK(shows("papayarack_configuration_version 0\n"));
-  // No list yet has no age.
+  // Without a list there is no age.
   CHECK_FALSE(shows("papayarack_replica_list_age_ms"));
   runtime.watch->TakeEngines({});
   CHECK(shows("papayarack_replica_list_age_ms "));
 }
 
-// Symptom: while processes are replaced one by one, entries and gates of the
-// two versions do not understand each other. Cause: a message with a new field
-// is refused by, or is not read from, a process that does not know it.
-TEST_CASE("a slot's answer is understood between versions") {
+// Guards against entries and gates of two versions that do not understand each
+// other during a rolling update: a process must accept a message with a field
+// that it does not know, or without one that it does.
+TEST_CASE("slot replies are compatible between versions") {
   FormerReply former;
   former.expected_wait_ms = 88;
   const auto read = DecodeMessage<SlotReply>(EncodeMessage(former));
@@ -73,7 +73,7 @@
 
 namespace {
 
-/// In which every answer of an engine is whole.
+/// A dialect in which every engine answer is complete.
 Dialect PlainDialect() {
   Dialect dialect;
   dialect.read_call = [](const http::Headers&) {
@@ -89,7 +89,7 @@
   return dialect;
 }
 
-/// An engine on the loopback that answers every request with one event.
+/// A loopback engine that answers every request with one event.
 class EventEngine {
  public:
   explicit EventEngine(asio::io_context& context)
@@ -122,10 +122,9 @@
 
 }  // namespace
 
-// Symptom: a dashboard made from docs/OPERATIONS.md shows nothing of the
-// requests that run at once. Sequence: the relay counts them under names that
-// begin with the program's; the registry puts that before every name. Cause:
-// the prefix stood on the page twice.
+// Guards against a dashboard made from docs/OPERATIONS.md that shows no online
+// requests: the relay's metric names began with the program's name, which the
+// registry adds to every name.
 TEST_CASE("a relay counts its requests under the documented names") {
   constexpr http::ExchangeId kExchange = 1;
   asio::io_context context;
@@ -170,14 +169,14 @@
   coordination::FleetKnowledge fleet;
   fleet.engines_seen = MonotonicNow();
 
-  SECTION("those that are answered") {
+  SECTION("answered requests") {
     fleet.engines = {engine.Instance("s")};
     relay.SetFleet(fleet, table->configuration());
     run();
     CHECK(shows("papayarack_online_answered_total 1"));
     CHECK(shows("papayarack_online_first_event_seconds_count 1"));
   }
-  SECTION("and those that are refused") {
+  SECTION("refused requests") {
     relay.SetFleet(fleet, table->configuration());
     run();
     CHECK(shows("papayarack_online_refused_total 1"));
--- a/src/nodes/tests/ownership_tests.cpp
+++ b/src/nodes/tests/ownership_tests.cpp
@@ -17,12 +17,11 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kStep{50};
-/// A watch is answered after this long when nothing changes.
+/// A report is answered after this long when nothing changes.
 constexpr milliseconds kReportInterval{1000};
-/// What the leader tells is here after this long at the latest: a tick of the
-/// leader's and a hop.
+/// Maximum delay of the leader's changes: one tick of the leader and one hop.
 constexpr milliseconds kSpread{150};
-/// Longest time that an engine may have no owner after a loss.
+/// Maximum time without an owner after a loss.
 constexpr milliseconds kLongestOwnerless{3000};
 
 enum class Link { kThere, kCutOff, kGone };
@@ -30,13 +29,13 @@
 struct Process {
   NodeReport report;
   Link link = Link::kThere;
-  Time linked_since{};  ///< Of `link`.
+  Time linked_since{};  ///< Since when `link` holds.
   Time next_report{};
   coordination::FleetKnowledge known;
 };
 
-/// A leader's real table, and processes that report to it and follow its list,
-/// each with its own delay. Time goes in steps.
+/// A leader's real node table, and processes that report to it and follow its
+/// list with different delays. Time advances in steps.
 class FleetSimulation {
  public:
   FleetSimulation(std::size_t stores, std::size_t engines, std::size_t gates) {
@@ -81,9 +80,9 @@
   }
 
   Duration LongestOwnerless() const { return this->longest_ownerless; }
-  /// Two hosts that hear the leader.
+  /// Maximum time of two hosts that hear the leader.
   Duration LongestShared() const { return this->longest_shared; }
-  /// A host that does not hear the leader any more.
+  /// Maximum time of a host that no longer hears the leader.
   Duration LongestByOldList() const { return this->longest_by_old_list; }
 
  private:
@@ -106,7 +105,7 @@
     }
   }
 
-  /// Each process has another part of the spread's time behind it.
+  /// Each process follows the list with another part of the delay.
   void FollowAll() {
     for (std::size_t i = 0; i < this->processes.size(); ++i) {
       Process& process = this->processes[i];
@@ -172,7 +171,7 @@
       if (owned || !this->SomeHostIsThere()) {
         since_owned = this->now;
       }
-      // A later loss begins another wait.
+      // A later loss restarts the wait.
       this->longest_ownerless =
           std::max(this->longest_ownerless,
                    this->now - std::max(since_owned, this->last_change));
@@ -199,10 +198,10 @@
 
 }  // namespace
 
-// Symptom: an engine stands idle for seconds, or two processes fill it, after
-// some processes were lost, cut off from the leader or came back.
-TEST_CASE("owners of engines over random losses") {
-  rc::check("an engine has an owner soon, and not two for long", [] {
+// Guards against an engine that is idle for seconds, or filled by two
+// processes, after processes were lost, cut off from the leader or restored.
+TEST_CASE("engine owners under random losses") {
+  rc::check("an engine soon has an owner, and not two for long", [] {
     FleetSimulation simulation(*rc::gen::inRange<std::size_t>(1, 6),
                                *rc::gen::inRange<std::size_t>(1, 12),
                                *rc::gen::inRange<std::size_t>(0, 6));
--- a/src/nodes/tests/resultburst_tests.cpp
+++ b/src/nodes/tests/resultburst_tests.cpp
@@ -2,9 +2,10 @@
 
 namespace papayarack::nodes {
 
-// Guards against an overload that outlives its cause: results come faster than
-// a leader with a part of a processor commits them, and it never catches up.
-TEST_CASE("a burst of results is committed soon after it") {
+// Guards against an overload that lasts after its cause has ended: results
+// arrive faster than a leader with part of a processor commits them, and it
+// never catches up.
+TEST_CASE("a burst of results is committed soon after its end") {
   constexpr milliseconds kBurst{4000};
   constexpr double kShare = 0.06;
   constexpr milliseconds kSoon = 8 * kBurst;
@@ -34,13 +35,13 @@
   CHECK(fleet.HeldCount() == 0);
 }
 
-// Guards against results that stay at their gates while a leader that does not
-// take them goes on: they are late, though others have them or could lead.
-TEST_CASE("results are taken though the leader cannot take them") {
+// Guards against results that stay at their gates, and are late, while the
+// leader cannot commit them although another member could.
+TEST_CASE("results are accepted although the leader cannot commit them") {
   Fleet fleet;
   FillSlots(fleet);
   StoreMember& first = *fleet.Leader();
-  SECTION("as it is cut off from the members, not from the gates") {
+  SECTION("when it is cut off from the members but not from the gates") {
     for (StoreMember& member : fleet.members) {
       if (&member != &first) {
         member.CutFrom(first);
@@ -48,7 +49,7 @@
       }
     }
   }
-  SECTION("as its disk answers nothing") { first.StallDisk(true); }
+  SECTION("when its disk stalls") { first.StallDisk(true); }
   CHECK(ResultsAcceptedInTime(fleet));
 }
 
--- a/src/nodes/tests/resultfleet.h
+++ b/src/nodes/tests/resultfleet.h
@@ -31,8 +31,7 @@
 constexpr milliseconds kStep{10};
 constexpr milliseconds kTimeout{8000};
 
-/// All engines at one address: each answer is one event, whose end the test
-/// gives.
+/// All engines share one address. Each answer is one event; the test ends it.
 class Engines {
  public:
   explicit Engines(asio::io_context& context)
@@ -42,7 +41,7 @@
     return "127.0.0.1:" + std::to_string(this->server.port());
   }
   std::size_t Running() const { return this->running.size(); }
-  /// Sends a comment to all, so that no run counts as silent.
+  /// Sends a comment on all streams, so that no run times out.
   void KeepAlive() {
     for (const http::ExchangeId exchange : this->running) {
       this->server.Write(exchange, ":\n\n");
@@ -77,7 +76,7 @@
   std::deque<http::ExchangeId> running;
 };
 
-/// A gate with connections of its own to the group.
+/// A gate with its own connections to the group.
 struct Gate {
   Gate(asio::io_context& context, const Engines& engines,
        const Dialect& dialect, const std::vector<std::string>& members,
@@ -101,8 +100,8 @@
   BatchRunner runner;
 };
 
-/// The real group, gates and engines on one thread; members get a share of the
-/// processor.
+/// The real group, gates and engines on one thread; members get a share of
+/// processor time.
 class Fleet {
  public:
   Fleet() {
@@ -129,7 +128,7 @@
     return found != this->members.end() ? &*found : nullptr;
   }
 
-  /// One step; each member may use `share` of a processor.
+  /// Runs one step in which each member may use `share` of a processor.
   void Step(double share) {
     const std::chrono::nanoseconds most(
         static_cast<std::int64_t>(share * 1e6 * kStep.count()));
@@ -149,8 +148,8 @@
     }
   }
 
-  /// Counts steps, not time: a step that takes longer beside other processes
-  /// brings the fleet no further.
+  /// Limits steps, not time: a step slowed down by other processes makes no
+  /// more progress.
   bool RunUntil(const std::function<bool()>& done, double share,
                 milliseconds time) {
     for (auto left = time / kStep; left > 0 && !done(); --left) {
@@ -175,10 +174,10 @@
   Dialect dialect = MakeBatchDialect();
   std::list<Gate> gates;
   Time next_comment{};
-  const StoreMember* frozen = nullptr;  ///< Stands still.
+  const StoreMember* frozen = nullptr;  ///< Does not run.
 };
 
-/// Submits so many items that every slot runs one, and waits until it does.
+/// Submits enough items to fill every slot, and waits until all run.
 inline void FillSlots(Fleet& fleet) {
   REQUIRE(fleet.RunUntil([&] { return fleet.Leader() != nullptr; },
                          kWholeProcessor, kTimeout));
@@ -198,8 +197,8 @@
                          kWholeProcessor, 2 * kTimeout));
 }
 
-/// How long a result may need to the next leader: a silent connection is given
-/// up, the others elect, a report is repeated.
+/// Maximum time of a result to the next leader: silent connection closed,
+/// election, report retried.
 inline milliseconds FailoverTime() {
   constexpr milliseconds kElection{1200};
   const transport::PeerClientOptions connection;
@@ -207,7 +206,7 @@
          BatchRunner::kMaxReportBackoff;
 }
 
-/// Ends one run of each gate; true when all results were taken in time.
+/// Ends one run of each gate; true when all results are accepted in time.
 inline bool ResultsAcceptedInTime(Fleet& fleet) {
   const std::size_t left = kItems - kGates;
   fleet.engines.End(kGates);
--- a/src/nodes/tests/startupqueue_tests.cpp
+++ b/src/nodes/tests/startupqueue_tests.cpp
@@ -16,10 +16,10 @@
 
 }  // namespace
 
-// Load: 60 callers come back within 0.25 s of the start of a process that knows
-// no configuration yet, which arrives after 0.25 s. Refused at once all of them
-// come back later; held, those of the last 0.2 s are served in time.
-TEST_CASE("callers of a process that has just started are not sent away") {
+// Load: 60 callers return within 0.25 s of the start of a process, whose
+// configuration arrives after 0.25 s. Refused at once all would return later;
+// held, those of the last 0.2 s are served in time.
+TEST_CASE("requests to a process that has just started are held") {
   StartupQueue queue(At(0));
   int refused = 0;
   for (int ms = 0; ms < 250; ms += 4) {
@@ -31,7 +31,7 @@
   CHECK(refused == 13);
   CHECK(served.size() == 50);
   CHECK(served.front().exchange < served.back().exchange);
-  // A deadline counted from when it was let on would be 0.2 s too long.
+  // Counted from when it leaves the queue the deadline would be 0.2 s too long.
   CHECK(served.front().arrived == At(52));
   CHECK(queue.Empty());
 }
@@ -41,9 +41,9 @@
   CHECK_FALSE(Offer(queue, 1, 1001));
 }
 
-TEST_CASE("what waits at a start is bounded") {
+TEST_CASE("the start-up queue is bounded") {
   StartupQueue queue(At(0));
-  SECTION("in bytes, which come free again") {
+  SECTION("in bytes, which removed requests release") {
     CHECK(Offer(queue, 1, 0, StartupQueue::kMaxBytes));
     CHECK_FALSE(Offer(queue, 2, 0));
     CHECK(queue.Remove(1));
