--- a/src/claims/claimtable.h
+++ b/src/claims/claimtable.h
@@ -14,13 +14,13 @@
 namespace papayarack::claims {
 
 enum class ClaimState : std::uint8_t {
-  kRunning = 0,   ///< Granted; the request may be on its way.
-  kAnswered = 1,  ///< The answer is kept.
-  kUnknown = 2,   ///< It may have run; it never runs again under this key.
+  kRunning = 0,   ///< Granted; the request may have been sent.
+  kAnswered = 1,  ///< The answer is stored.
+  kUnknown = 2,   ///< May have run; the key is never granted again.
 };
 
-/// A request that may not be repeated, before its first byte goes to an
-/// upstream.
+/// Claims the key of a non-repeatable request before its first byte is sent to
+/// an upstream.
 struct ClaimRequest {
   std::string owner;
   std::string key;
@@ -44,7 +44,7 @@
   MSGPACK_DEFINE(code, status, content_type, answer)
 };
 
-/// The end of a claimed request.
+/// Outcome of a claimed request.
 struct ClaimEnd {
   std::string owner;
   std::string key;
@@ -59,15 +59,16 @@
                  answer)
 };
 
-/// Idempotency keys of requests that may not be repeated: at most one request
-/// for each key is ever let through, whichever entry it comes by.
-/// Deterministic. Thread safety: none.
+/// Idempotency keys of non-repeatable requests: at most one request per key is
+/// granted, through whichever entry it comes. Deterministic. Thread safety:
+/// none.
 class ClaimTable {
  public:
   ClaimOutcome Claim(const ClaimRequest& request);
-  /// Late or foreign ends change nothing.
+  /// Records the end of a claim. Ignored unless `end` belongs to the running
+  /// claim.
   void End(const ClaimEnd& end);
-  /// Forgets claims whose time is over.
+  /// Removes the claims whose retention has expired.
   void Expire(std::int64_t now_ms);
   std::size_t Count() const { return this->claims.size(); }
   std::string Save() const;
--- a/src/claims/internal/claimtable.cpp
+++ b/src/claims/internal/claimtable.cpp
@@ -20,8 +20,8 @@
   }
   if (entry.claim_id == request.claim_id &&
       entry.state == static_cast<std::uint8_t>(ClaimState::kRunning)) {
-    return outcome;  // The entry lost our answer and asks again; it has not
-                     // gone ahead yet.
+    return outcome;  // The answer to the claim was lost and the entry repeats
+                     // it; it has not sent the request yet.
   }
   switch (static_cast<ClaimState>(entry.state)) {
     case ClaimState::kAnswered:
@@ -36,9 +36,9 @@
     case ClaimState::kRunning:
       break;
   }
-  // Past its deadline nobody can be at work on it any more, but whether it ran
-  // is not known: the entry that claimed it may have died before or after the
-  // first byte.
+  // No request runs past its deadline, but whether this one ran is unknown: the
+  // entry that claimed it may have failed before or after sending the first
+  // byte.
   const bool overdue = request.now_ms > entry.deadline_ms;
   outcome.code = static_cast<int>(overdue ? ResultCode::kUnknownOutcome
                                           : ResultCode::kStillRunning);
--- a/src/claims/tests/claims_tests.cpp
+++ b/src/claims/tests/claims_tests.cpp
@@ -13,21 +13,20 @@
 
 }  // namespace
 
-TEST_CASE("a teller posts a cheque once") {
+TEST_CASE("a request runs at most once per idempotency key") {
   ClaimTable book;
   REQUIRE(book.Claim(Request("first")).code == 0);
 
-  SECTION("the same try may ask again when control's answer was lost") {
+  SECTION("the same attempt may claim again when the answer was lost") {
     CHECK(book.Claim(Request("first")).code == 0);
   }
-  // Symptom: a cheque posts twice. Sequence: the branch resends through another
-  // entry while the first request runs. Cause: the second entry knows nothing
-  // of the first.
-  SECTION("a resend through another entry waits for the first") {
+  // Guards against a request that runs twice: the client resends it through
+  // another entry, which does not know that the first one is running.
+  SECTION("a resend through another entry is told that the first is running") {
     CHECK(book.Claim(Request("second")).code ==
           Code(ResultCode::kStillRunning));
   }
-  SECTION("a resend after the answer gets that answer") {
+  SECTION("a resend after the answer gets the stored answer") {
     book.End({"lonestar", "post-cheque-17", "first",
               static_cast<std::uint8_t>(ClaimState::kAnswered), false, 201,
               "text/plain", "posted"});
@@ -35,15 +34,15 @@
     CHECK(again.code == Code(ResultCode::kAlreadyDone));
     CHECK(again.answer == "posted");
   }
-  // Symptom: as above. Sequence: the entry dies with the request on its way;
-  // the branch resends much later. Cause: nobody will ever report the end.
+  // Guards against the same when the entry fails with the request in flight, so
+  // that its end is never reported, and the client resends it much later.
   SECTION(
-      "a claim whose entry died is unknown past its deadline, and never runs "
+      "a claim whose entry failed is unknown past its deadline and never runs "
       "again") {
     CHECK(book.Claim(Request("second", 30001)).code ==
           Code(ResultCode::kUnknownOutcome));
   }
-  SECTION("a request that was certainly not run may be made again") {
+  SECTION("a request that did not run may be claimed again") {
     book.End({"lonestar", "post-cheque-17", "first", 0, true, 0, "", ""});
     CHECK(book.Claim(Request("second")).code == 0);
   }
@@ -52,11 +51,11 @@
     other.content_hash = "else";
     CHECK(book.Claim(other).code == Code(ResultCode::kConflict));
   }
-  SECTION("an end reported by another try changes nothing") {
+  SECTION("an end reported by another attempt is ignored") {
     book.End({"lonestar", "post-cheque-17", "second", 0, true, 0, "", ""});
     CHECK(book.Claim(Request("third")).code == Code(ResultCode::kStillRunning));
   }
-  SECTION("it survives a snapshot and is forgotten after its time") {
+  SECTION("claims survive a snapshot and expire after their retention") {
     ClaimTable copy;
     copy.Load(book.Save());
     CHECK(copy.Claim(Request("second")).code ==
