--- a/src/claims/internal/claimbook.cpp
+++ b/src/claims/internal/claimtable.cpp
@@ -1,8 +1,8 @@
-#include "claims/claimbook.h"
+#include "claims/claimtable.h"
 
 namespace papayarack::claims {
 
-ClaimOutcome ClaimBook::Claim(const ClaimRequest& request) {
+ClaimOutcome ClaimTable::Claim(const ClaimRequest& request) {
   ClaimOutcome outcome;
   const auto [place, fresh] =
       this->claims.try_emplace({request.owner, request.key});
@@ -20,8 +20,8 @@
   }
   if (entry.claim_id == request.claim_id &&
       entry.state == static_cast<std::uint8_t>(ClaimState::kRunning)) {
-    return outcome;  // The entry lost our answer and asks again; it has not
-                     // gone ahead yet.
+    return outcome;  // The answer to the claim was lost and the entry repeats
+                     // it; it has not sent the request yet.
   }
   switch (static_cast<ClaimState>(entry.state)) {
     case ClaimState::kAnswered:
@@ -36,16 +36,16 @@
     case ClaimState::kRunning:
       break;
   }
-  // Past its deadline nobody can be at work on it any more, but whether it ran
-  // is not known: the entry that claimed it may have died before or after the
-  // first byte.
+  // No request runs past its deadline, but whether this one ran is unknown: the
+  // entry that claimed it may have failed before or after sending the first
+  // byte.
   const bool overdue = request.now_ms > entry.deadline_ms;
   outcome.code = static_cast<int>(overdue ? ResultCode::kUnknownOutcome
                                           : ResultCode::kStillRunning);
   return outcome;
 }
 
-void ClaimBook::End(const ClaimEnd& end) {
+void ClaimTable::End(const ClaimEnd& end) {
   const auto found = this->claims.find({end.owner, end.key});
   if (found == this->claims.end() || found->second.claim_id != end.claim_id ||
       found->second.state != static_cast<std::uint8_t>(ClaimState::kRunning)) {
@@ -61,15 +61,15 @@
   found->second.answer = end.answer;
 }
 
-void ClaimBook::Expire(std::int64_t now_ms) {
+void ClaimTable::Expire(std::int64_t now_ms) {
   std::erase_if(this->claims, [now_ms](const auto& entry) {
     return entry.second.expires_ms <= now_ms;
   });
 }
 
-std::string ClaimBook::Save() const { return EncodeMessage(this->claims); }
+std::string ClaimTable::Save() const { return EncodeMessage(this->claims); }
 
-void ClaimBook::Load(std::string_view bytes) {
+void ClaimTable::Load(std::string_view bytes) {
   this->claims = DecodeMessage<std::map<Key, Entry>>(bytes);
 }
 
--- a/src/nodes/internal/noderunner.cpp
+++ b/src/nodes/internal/noderunner.cpp
@@ -14,14 +14,15 @@
 namespace papayarack::nodes {
 namespace {
 
-/// The balancer asks once a second and takes a process out after two misses.
-constexpr std::chrono::milliseconds kBalancerLearns{2600};
-/// A store waits this long for its successor to be elected.
-constexpr std::chrono::milliseconds kHandOver{400};
-/// What is kept of the grace time for ending the process itself.
+/// The balancer checks readiness once a second and removes a process after two
+/// failed checks.
+constexpr std::chrono::milliseconds kBalancerReactionTime{2600};
+/// A store waits this long for the election of its successor.
+constexpr std::chrono::milliseconds kHandoverTime{400};
+/// Part of the grace time reserved for ending the process.
 constexpr std::chrono::milliseconds kGraceMargin{700};
 constexpr std::chrono::milliseconds kLeaveTick{50};
-/// Settings may change without a signal.
+/// Reload interval: settings may change without a signal.
 constexpr std::chrono::milliseconds kReloadEvery{3000};
 
 using Node = std::variant<std::unique_ptr<EntryNode>, std::unique_ptr<GateNode>,
@@ -39,10 +40,10 @@
   return std::make_unique<EntryNode>(runtime);
 }
 
-/// Signals, reloads and the graceful end of one node.
-class Shell {
+/// Handles signals, reloads and the graceful shutdown of one node.
+class NodeLifecycle {
  public:
-  Shell(const ReadOptions& read_options, const Dialect& dialect)
+  NodeLifecycle(const ReadOptions& read_options, const Dialect& dialect)
       : read_options(read_options),
         runtime(read_options(), dialect),
         node(MakeNode(this->runtime)),
@@ -93,7 +94,7 @@
       this->runtime.options.seeds = fresh.seeds;
       this->runtime.watch->search().SetSeeds(std::move(fresh.seeds));
     } catch (const ResultError& error) {
-      // Being written just now, or wrong: what was read before stays.
+      // The file is being written or invalid: keep the previous settings.
       Log(LogLevel::kWarn, "settings_unreadable", {{"text", error.what()}});
     }
   }
@@ -105,9 +106,9 @@
     this->AwaitDrained();
   }
 
-  void RefuseNewWhenKnown(Duration waited) {
+  void RefuseNewWhenDue(Duration waited) {
     auto* entry = std::get_if<std::unique_ptr<EntryNode>>(&this->node);
-    if (entry != nullptr && waited >= kBalancerLearns) {
+    if (entry != nullptr && waited >= kBalancerReactionTime) {
       (*entry)->RefuseNew();
     }
   }
@@ -118,13 +119,13 @@
     }
     return std::visit(
         Overloaded{[waited](const std::unique_ptr<EntryNode>& entry) {
-                     return waited >= kBalancerLearns && entry->Drained();
+                     return waited >= kBalancerReactionTime && entry->Drained();
                    },
                    [](const std::unique_ptr<GateNode>& gate) {
                      return gate->Drained();
                    },
                    [waited](const std::unique_ptr<StoreNode>& store) {
-                     return waited >= kHandOver && store->Drained();
+                     return waited >= kHandoverTime && store->Drained();
                    }},
         this->node);
   }
@@ -136,7 +137,7 @@
         return;
       }
       const Duration waited = MonotonicNow() - this->leave_began;
-      this->RefuseNewWhenKnown(waited);
+      this->RefuseNewWhenDue(waited);
       if (this->Done(waited)) {
         Log(LogLevel::kInfo, "stopped");
         this->runtime.context.stop();
@@ -159,11 +160,11 @@
 }  // namespace
 
 void RunNode(const ReadOptions& read_options, const Dialect& dialect) {
-  Shell shell(read_options, dialect);
+  NodeLifecycle lifecycle(read_options, dialect);
   Log(LogLevel::kInfo, "started");
-  shell.Run();
+  lifecycle.Run();
   FlushLog();
-  // Ends at once: nothing is left that a destructor would have to save.
+  // Exits without destructors: there is no state left to save.
   std::_Exit(0);
 }
 
--- a/src/nodes/internal/onlinerelay.cpp
+++ b/src/nodes/internal/onlinerelay.cpp
@@ -12,18 +12,20 @@
 namespace papayarack::nodes {
 namespace {
 
-/// Timeouts and silences are looked at this often.
+/// Interval of checking timeouts.
 constexpr std::chrono::milliseconds kSweep{25};
-/// A repeatable request whose engine is silent for this long goes elsewhere:
+/// A repeatable request is sent to another engine after a silence this long:
 /// many times what an engine with a free slot takes to its first event.
-constexpr std::chrono::milliseconds kFirstEventSilence{700};
-/// The same between two events; half of what callers wait before they leave.
-constexpr std::chrono::milliseconds kGapSilence{900};
-/// Engines that may say "did not run" before the caller is told so.
-constexpr std::size_t kMostSends = 6;
-/// In the log where no gate named a wait.
-constexpr std::chrono::milliseconds kNoWaitNamed{-1};
-/// For a request that is not to be run: as long as that stands.
+constexpr std::chrono::milliseconds kMaxFirstEventSilence{700};
+/// The same between two events; half of the time after which callers
+/// disconnect.
+constexpr std::chrono::milliseconds kMaxEventGap{900};
+/// Maximum number of engines that may answer "did not run" before the caller is
+/// told so.
+constexpr std::size_t kMaxSends = 6;
+/// Logged when no gate stated an expected wait.
+constexpr std::chrono::milliseconds kUnknownWait{-1};
+/// Retry-After of a quarantined request: as long as the quarantine lasts.
 constexpr std::chrono::seconds kQuarantineRetryAfter =
     quarantine::CrashLedger::kRemember;
 constexpr int kServiceUnavailable = 503;
@@ -32,7 +34,7 @@
 
 bool IsSuccess(int status) { return status / 100 == 2; }
 
-/// Statuses that tell the caller "did not run".
+/// Whether the status tells the caller that the request did not run.
 bool PromisesNotRun(int status) {
   return status == 503 || status == 429 || status == 408 || status == 421;
 }
@@ -47,7 +49,7 @@
                          transport::PeerClient& peers,
                          coordination::FleetWatch& watch,
                          const Dialect& dialect, Metrics& metrics,
-                         RelayPlace place, std::uint64_t seed)
+                         RelayLocation place, std::uint64_t seed)
     : front(front),
       peers(peers),
       dialect(dialect),
@@ -55,7 +57,7 @@
       own_name(std::move(place.name)),
       own_zone(std::move(place.zone)),
       engines(context),
-      crash_watch(context, watch),
+      crash_detector(context, watch),
       chooser(seed),
       random(seed + 1),
       sweep(context) {
@@ -75,8 +77,9 @@
   }
 }
 
-/// Runs of the former start end by their connections or fall silent; when one
-/// was sent cannot be compared with a start by another clock.
+/// Closes idle connections to the former engine process. Its runs end with
+/// their connections or by timeout: their send times cannot be compared with a
+/// start time of another clock.
 void OnlineRelay::OnRestart(const placement::EngineRestart& restart) {
   Log(LogLevel::kInfo, "engine_restarted",
       {{"engine", restart.now.id},
@@ -95,7 +98,7 @@
   call.exchange = exchange;
   call.fields = this->dialect.read_call(request.headers);
   call.request = std::move(request);
-  call.fingerprint = CrashWatch::Identify(call.request);
+  call.fingerprint = CrashDetector::Identify(call.request);
   call.table = std::move(table);
   call.route = &route;
   std::uniform_real_distribution<double> draw(0, 1);
@@ -112,11 +115,11 @@
   this->by_exchange[exchange] = id;
   this->calls.emplace(id, std::move(call));
   this->metrics.Add("online_requests_total");
-  if (this->crash_watch.Quarantined(this->calls.at(id).fingerprint)) {
+  if (this->crash_detector.Quarantined(this->calls.at(id).fingerprint)) {
     this->RefuseQuarantined(id);
     return;
   }
-  this->Place(id);
+  this->FindSlot(id);
 }
 
 std::chrono::milliseconds OnlineRelay::WaitBudget(const Call& call) const {
@@ -125,29 +128,29 @@
       MonotonicNow());
 }
 
-/// Chooses where to ask next, or refuses.
-void OnlineRelay::Place(CallId id) {
+/// Chooses the next engine, or refuses the request.
+void OnlineRelay::FindSlot(CallId id) {
   Call& call = this->calls.at(id);
-  if (call.sends >= kMostSends) {
+  if (call.sends >= kMaxSends) {
     this->Refuse(id, "every engine tried said that it did not run");
     return;
   }
   const placement::SearchStep step =
       call.search->Next(this->chooser, this->WaitBudget(call), MonotonicNow());
-  std::visit([this, id](const auto& next) { this->Do(id, next); }, step);
+  std::visit([this, id](const auto& next) { this->Perform(id, next); }, step);
 }
 
-void OnlineRelay::Do(CallId id, const placement::AskGate& step) {
+void OnlineRelay::Perform(CallId id, const placement::AskGate& step) {
   this->calls.at(id).engine = step.engine;
   this->Ask(id, static_cast<std::uint32_t>(step.longest_wait.count()));
 }
 
-void OnlineRelay::Do(CallId id, const placement::SendUngated& step) {
+void OnlineRelay::Perform(CallId id, const placement::SendUngated& step) {
   this->calls.at(id).engine = step.engine;
   this->Send(id);
 }
 
-void OnlineRelay::Do(CallId id, const placement::NoSlot& step) {
+void OnlineRelay::Perform(CallId id, const placement::NoSlot& step) {
   this->Refuse(id, step.reason);
 }
 
@@ -156,7 +159,7 @@
   const std::uint64_t attempt = ++call.attempt;
   call.phase = Phase::kAsking;
   call.sent = MonotonicNow();
-  AskSlot ask;
+  AcquireSlot ask;
   ask.request = call.fields.id;
   ask.engine_id = call.engine.id;
   ask.engine_address = call.engine.address;
@@ -221,11 +224,11 @@
       this->chooser.Closed(call.engine.address, MonotonicNow());
       break;
   }
-  this->Place(id);
+  this->FindSlot(id);
 }
 
-/// The gate is gone, or its connection. Before the grant nothing was sent, so
-/// another is asked; afterwards the engine goes on with the request.
+/// The gate or its connection is lost. Nothing was sent before the grant, so
+/// another gate is tried; after it the engine continues the request.
 void OnlineRelay::OnAskFailed(CallId id, std::uint64_t attempt) {
   const auto found = this->calls.find(id);
   if (found == this->calls.end() || found->second.attempt != attempt) {
@@ -250,7 +253,7 @@
     this->chooser.Failed(call.engine.address, MonotonicNow());
     call.search->Unanswered();
   }
-  this->Place(id);
+  this->FindSlot(id);
 }
 
 void OnlineRelay::Send(CallId id) {
@@ -261,7 +264,7 @@
   ++call.sends;
   call.sent = now;
   call.last_heard = now;
-  call.begun = false;
+  call.accepted = false;
   call.splitter.Clear();
   http::HttpCall out;
   out.peer = ParseEndpoint(call.engine.address, "engine");
@@ -307,15 +310,15 @@
   const EngineHead engine = this->dialect.read_engine_head(head);
   call.status = head.status;
   if (engine.not_run) {
-    // Handled at the end of the answer, whose body says nothing more.
+    // Handled in OnEnd; the body is ignored.
     call.failed_status = true;
     return;
   }
-  call.begun = true;
+  call.accepted = true;
   call.ran_at.insert(call.engine.address);
   const bool success = IsSuccess(head.status);
-  // A failure is the caller's to see once nothing else can be tried, unless it
-  // would say "did not run" of a request that may have.
+  // A failure is passed to the caller when no further attempt is possible,
+  // unless it would state "did not run" about a request that may have run.
   const bool can_repeat =
       call.route->MayRepeat() && call.ran_at.size() < call.route->max_attempts;
   call.failed_status =
@@ -328,11 +331,11 @@
     return;
   }
   if (!call.head_sent) {
-    this->PassHead(call, head);
+    this->ForwardHead(call, head);
   }
 }
 
-void OnlineRelay::PassHead(Call& call, const http::HttpHead& head) {
+void OnlineRelay::ForwardHead(Call& call, const http::HttpHead& head) {
   http::Headers headers = head.headers;
   call.is_events = headers.Get("Content-Type").starts_with("text/event-stream");
   http::RemoveConnectionFields(headers);
@@ -358,14 +361,14 @@
     this->front->Write(call.exchange, bytes);
     return;
   }
-  if (!this->PassEvents(call, bytes)) {
+  if (!this->ForwardEvents(call, bytes)) {
     this->OnBroken(id, "an event out of order");
   }
 }
 
-/// Passes whole events on. False when they do not follow each other: a gap, a
-/// repeat or another request's events must not reach the caller.
-bool OnlineRelay::PassEvents(Call& call, std::string_view bytes) {
+/// Forwards complete events. False when their ids are not consecutive: a gap, a
+/// repetition or events of another request must not reach the caller.
+bool OnlineRelay::ForwardEvents(Call& call, std::string_view bytes) {
   call.splitter.Add(bytes);
   http::StreamEvent event;
   while (call.splitter.Next(event)) {
@@ -397,16 +400,16 @@
     return;
   }
   if (end != http::HttpEnd::kComplete) {
-    this->crash_watch.Broke(call.fingerprint, call.fields.id,
-                            call.engine.Start());
+    this->crash_detector.ConnectionBroke(call.fingerprint, call.fields.id,
+                                         call.engine.Start());
     call.ran_at.insert(call.engine.address);
     this->OnBroken(id, end == http::HttpEnd::kMalformed
                            ? "the engine sent what is not an answer"
                            : "the engine's connection broke");
     return;
   }
-  if (call.begun) {
-    this->crash_watch.Survived(call.fingerprint);
+  if (call.accepted) {
+    this->crash_detector.Survived(call.fingerprint);
   }
   if (call.failed_status) {
     const bool ran = call.ran_at.count(call.engine.address) > 0;
@@ -439,7 +442,7 @@
        {"last_event", call.last_event},
        {"resumable", call.route->MayRepeat()}});
   const bool attempts_left = call.ran_at.size() < call.route->max_attempts;
-  // Plain answers cannot be continued; streams can, behind their last event.
+  // Streams can be resumed after their last event, other answers cannot.
   const bool can_go_on = !call.head_sent || call.is_events;
   if (call.route->MayRepeat() && attempts_left && can_go_on) {
     this->Retry(id);
@@ -448,7 +451,7 @@
   this->Fail(id, kBadGateway, reason);
 }
 
-/// Looks for another engine; the ones tried before are left out.
+/// Tries another engine; those already tried are excluded.
 void OnlineRelay::Retry(CallId id) {
   Call& call = this->calls.at(id);
   this->ReleaseEngine(call);
@@ -457,12 +460,12 @@
     this->Fail(id, kGatewayTimeout, "too little time left for another engine");
     return;
   }
-  if (this->crash_watch.Quarantined(call.fingerprint)) {
+  if (this->crash_detector.Quarantined(call.fingerprint)) {
     this->RefuseQuarantined(id);
     return;
   }
   call.search->Restart(this->chooser, call.engine.Start());
-  this->Place(id);
+  this->FindSlot(id);
 }
 
 void OnlineRelay::ReleaseEngine(Call& call) {
@@ -487,8 +490,8 @@
       .count();
 }
 
-/// At once, and with no invitation to come again soon: each run ends a replica
-/// and all that runs there.
+/// Refuses at once, with a long Retry-After: each run of the request ends a
+/// replica and everything that runs there.
 void OnlineRelay::RefuseQuarantined(CallId id) {
   Call& call = this->calls.at(id);
   constexpr const char* kReason = "it crashes the replicas that run it";
@@ -509,7 +512,7 @@
   this->Finish(id, "quarantined", kServiceUnavailable);
 }
 
-/// Refuses truthfully: "not run" only where no engine may have run it.
+/// Refuses the request; answers "not run" only if no engine may have run it.
 void OnlineRelay::Refuse(CallId id, const char* reason) {
   Call& call = this->calls.at(id);
   if (!call.ran_at.empty() || call.head_sent) {
@@ -526,7 +529,7 @@
        {"reason", reason},
        {"asked", call.search->Asks()},
        {"expected_wait_ms",
-        call.search->LeastWait().value_or(kNoWaitNamed).count()},
+        call.search->LeastWait().value_or(kUnknownWait).count()},
        {"budget_ms", this->WaitBudget(call).count()}});
   this->Finish(id, "refused", response.status);
 }
@@ -629,7 +632,7 @@
   const Duration silent = now - call.last_heard;
   const bool streaming = call.route->kind == routes::RouteKind::kStreaming;
   const Duration bound =
-      call.first_event == Time{} ? kFirstEventSilence : kGapSilence;
+      call.first_event == Time{} ? kMaxFirstEventSilence : kMaxEventGap;
   if (streaming && call.route->MayRepeat() && silent > bound) {
     this->OnBroken(id, "the engine fell silent");
   }
