--- a/src/nodes/internal/fleetengines.cpp
+++ b/src/nodes/internal/fleetengines.cpp
@@ -145,8 +145,8 @@
       option.gate = gate->second;
     } else {
       option.gate = option.hosted ? host->second : std::string();
-      option.unowned_share = placement::ShareOfSlots(
-          entry, engine->address, engine->slots, fleet.entries);
+      option.unowned_share = placement::SlotShare(entry, engine->address,
+                                                  engine->slots, fleet.entries);
     }
     options->second.push_back(std::move(option));
   }
--- a/src/nodes/internal/onlinerelay.cpp
+++ b/src/nodes/internal/onlinerelay.cpp
@@ -195,8 +195,8 @@
     this->OnAskFailed(id, attempt);
     return;
   }
-  if (const auto restart = this->chooser.SawStart(call.engine.address,
-                                                  reply.engine_started_ms)) {
+  if (const auto restart = this->chooser.ObserveStart(
+          call.engine.address, reply.engine_started_ms)) {
     this->OnRestart(*restart);
   }
   placement::LearnStart(call.engine.started_ms, reply.engine_started_ms);
@@ -244,7 +244,7 @@
        {"engine", call.engine.id},
        {"hosted", call.engine.hosted}});
   if (call.engine.hosted) {
-    this->chooser.HostSilent(call.engine.gate, MonotonicNow());
+    this->chooser.HostTimedOut(call.engine.gate, MonotonicNow());
     call.search->NoOwner();
   } else {
     this->chooser.Failed(call.engine.address, MonotonicNow());
@@ -453,7 +453,7 @@
   Call& call = this->calls.at(id);
   this->ReleaseEngine(call);
   call.failed_status = false;
-  if (MonotonicNow() + placement::kLeastRun > call.deadline) {
+  if (MonotonicNow() + placement::kMinRunTime > call.deadline) {
     this->Fail(id, kGatewayTimeout, "too little time left for another engine");
     return;
   }
@@ -482,7 +482,7 @@
 double OnlineRelay::RetryAfterSeconds(const Call& call) {
   std::uniform_real_distribution<double> draw(0, 1);
   return std::chrono::duration<double>(
-             placement::RetryAfter(call.search->LeastWait(),
+             placement::RetryAfter(call.search->ShortestWait(),
                                    draw(this->random)))
       .count();
 }
@@ -526,7 +526,7 @@
        {"reason", reason},
        {"asked", call.search->Asks()},
        {"expected_wait_ms",
-        call.search->LeastWait().value_or(kNoWaitNamed).count()},
+        call.search->ShortestWait().value_or(kNoWaitNamed).count()},
        {"budget_ms", this->WaitBudget(call).count()}});
   this->Finish(id, "refused", response.status);
 }
@@ -620,7 +620,7 @@
     return;
   }
   if (call.phase == Phase::kAsking) {
-    if (call.slot != 0 && call.search->Silent(now - call.sent)) {
+    if (call.slot != 0 && call.search->AskTimedOut(now - call.sent)) {
       this->peers.Cancel(call.slot);
       this->OnAskFailed(id, call.attempt);
     }
--- a/src/placement/enginechooser.h
+++ b/src/placement/enginechooser.h
@@ -14,20 +14,20 @@
 
 namespace papayarack::placement {
 
-/// One replica that a request could go to.
+/// A replica that can serve a request.
 struct EngineOption {
-  std::string address;  ///< Names it; new for another machine.
-  std::string id;       ///< Of the replica that runs there now.
-  /// Address of the process that owns its slots: beside it or a host; empty
-  /// where none does.
+  std::string address;  ///< Unique key; differs between machines.
+  std::string id;       ///< Id of the replica now at the address.
+  /// Address of the process that owns its slots, on the same VM or a host;
+  /// empty if it has no owner.
   std::string gate;
   std::string zone;
   std::uint32_t slots = 0;
-  std::uint64_t started_ms = 0;  ///< As in EngineStart.
-  /// Requests that may be sent at once while nobody owns its slots.
+  std::uint64_t started_ms = 0;  ///< See EngineStart.
+  /// Limit of concurrent requests from this entry while it has no owner.
   std::size_t unowned_share = 0;
-  /// Its owner runs on another VM, so the engine may serve while the owner does
-  /// not answer.
+  /// The owner runs on another VM, so the engine may be up while the owner does
+  /// not respond.
   bool hosted = false;
 
   EngineStart Start() const {
@@ -35,91 +35,91 @@
   }
 };
 
-/// What a gate last said of its engine.
+/// Load of an engine as last reported by its gate.
 struct ReportedLoad {
   std::uint32_t online = 0;
   std::uint32_t waiting = 0;
 };
 
-/// Chooses where an entry asks for a slot first. The gate decides, so a wrong
-/// choice costs one more round trip and no caller's time in a queue.
+/// Chooses the engine where an entry asks for a slot first. The gate decides,
+/// so a wrong choice costs one round trip and no time in a queue.
 ///
-/// Load pattern: a few entries each see a part of one wave. What a gate last
-/// said ages, so it is blended with what this entry itself has there since; a
-/// random part of a slot keeps entries with equal knowledge from all choosing
-/// the same engine after a change. Thread safety: none.
+/// Load pattern: each of a few entries sees a part of one wave. Reports of
+/// gates become stale, so they are blended with the entry's own requests since;
+/// random noise of less than a slot keeps entries with the same reports from
+/// all choosing the same engine after a change. Thread safety: none.
 class EngineChooser {
  public:
   explicit EngineChooser(std::uint64_t seed) : random(seed) {}
 
-  /// Replaces the options; what is known of those that stay is kept, but what
-  /// was known of a replica's former start is forgotten. Returns the replicas
-  /// that started again.
+  /// Replaces the options. State is kept for replicas that remain, and reset
+  /// for those that restarted. Returns the restarted replicas.
   std::vector<EngineRestart> SetOptions(const std::string& service,
                                         std::vector<EngineOption> options);
-  /// The gate of the replica at `address` says when that started; as in
-  /// SetOptions.
-  std::optional<EngineRestart> SawStart(const std::string& address,
-                                        std::uint64_t started_ms);
-  /// The best option whose present start is not in `tried`; nothing when none
-  /// is left.
+  /// Records the start time that the gate reports for the replica at `address`.
+  /// Returns the restart if it is one, as SetOptions does.
+  std::optional<EngineRestart> ObserveStart(const std::string& address,
+                                            std::uint64_t started_ms);
+  /// The best option whose current start is not in `tried`; nothing if none is
+  /// left.
   std::optional<EngineOption> Choose(const std::string& service,
                                      const std::string& own_zone,
                                      std::span<const EngineStart> tried,
                                      Time now);
-  /// Whether Choose would find one.
+  /// Whether Choose would return an option.
   bool HasUntried(const std::string& service,
                   std::span<const EngineStart> tried) const;
-  /// A request starts or ends its use of an engine from this entry.
+  /// A request of this entry starts or ends at an engine.
   void Started(const std::string& address);
   void Ended(const std::string& address);
   void Reported(const std::string& address, const ReportedLoad& load, Time now);
-  /// An answer came in whole.
+  /// A response was received completely.
   void Succeeded(const std::string& address);
-  /// The engine or its gate failed a request: set aside, doubled at each
-  /// failure in a row up to kLongestAside.
+  /// The engine or its gate failed a request: backs off, doubling with each
+  /// consecutive failure up to kMaxBackoff.
   void Failed(const std::string& address, Time now);
-  /// Its gate gives no slots at the moment: set aside for kFirstAside, which is
-  /// not doubled, as an ask costs a round trip only.
+  /// The gate grants no slots at the moment: backs off for kFirstBackoff. Not
+  /// doubled, as asking costs only a round trip.
   void Closed(const std::string& address, Time now);
-  /// The process asked for a slot of the engine does not own it: there is no
-  /// owner for kUnownedFor.
+  /// The process asked for a slot does not own the engine: treats the engine as
+  /// without an owner for kUnownedFor.
   void NotOwned(const std::string& address, Time now);
-  /// A host did not answer: the same for each engine that it owns.
-  void HostSilent(const std::string& host, Time now);
-  /// Moment at which a set-aside engine is tried again; past when it is not.
-  Time AsideUntil(const std::string& address) const;
+  /// A host did not respond: the same as NotOwned for each engine it owns.
+  void HostTimedOut(const std::string& host, Time now);
+  /// End of the engine's backoff; in the past if it is not backed off.
+  Time BackoffUntil(const std::string& address) const;
   std::size_t OptionCount(const std::string& service) const;
-  std::uint32_t OwnUse(const std::string& address) const;
+  std::uint32_t OwnRequests(const std::string& address) const;
 
-  /// First time of being set aside: longer than a crash takes to show in the
-  /// platform's list would set aside half a fleet after one burst of resets.
-  static constexpr std::chrono::milliseconds kFirstAside{300};
-  static constexpr std::chrono::milliseconds kLongestAside{4000};
-  /// An engine whose host is not there is used without a slot for this long
-  /// before the host is asked again: an ask in vain costs its caller up to
-  /// SlotSearch::kAskSilence.
+  /// Initial backoff. If it exceeded the time until a crash appears in the
+  /// platform's list, one burst of connection resets would put half a fleet in
+  /// backoff.
+  static constexpr std::chrono::milliseconds kFirstBackoff{300};
+  static constexpr std::chrono::milliseconds kMaxBackoff{4000};
+  /// An engine whose host is unavailable is used without a slot for this long
+  /// before the host is asked again: an ask without a response costs its caller
+  /// up to SlotSearch::kAskTimeout.
   static constexpr std::chrono::milliseconds kUnownedFor{600};
 
  private:
-  struct Known {
-    std::string id;                ///< Empty before it was an option.
-    std::uint64_t started_ms = 0;  ///< As in EngineStart.
-    std::uint32_t own = 0;         ///< Requests of this entry there now.
+  struct EngineState {
+    std::string id;                ///< Empty until it is an option.
+    std::uint64_t started_ms = 0;  ///< See EngineStart.
+    std::uint32_t own = 0;         ///< This entry's current requests.
     std::uint32_t own_at_report = 0;
     ReportedLoad load;
     Time reported{};
-    std::uint32_t failures = 0;  ///< In a row.
-    Time aside_until{};
+    std::uint32_t failures = 0;  ///< Consecutive.
+    Time backoff_until{};
     Time unowned_until{};
   };
-  std::optional<EngineRestart> TakeStart(const EngineStart& told);
+  std::optional<EngineRestart> ApplyStart(const EngineStart& reported_start);
   EngineStart StartOf(const EngineOption& option) const;
   double CostOf(const EngineOption& option, const std::string& own_zone,
                 Time now);
 
   std::map<std::string, std::vector<EngineOption>> options;  ///< By service.
-  std::map<std::string, Known> known;                        ///< By address.
+  std::map<std::string, EngineState> states;                 ///< By address.
   std::mt19937_64 random;
 };
 
--- a/src/placement/internal/enginehosts.cpp
+++ b/src/placement/internal/enginehosts.cpp
@@ -11,12 +11,12 @@
 namespace papayarack::placement {
 namespace {
 
-/// Room of a host beyond an equal share, as a divisor of that share.
-constexpr std::size_t kExtraShare = 4;
+/// A host may exceed its equal share by the share divided by this.
+constexpr std::size_t kExtraShareDivisor = 4;
 
 using HostIndex = std::size_t;
 
-/// The hosts of one choice with what each owns so far.
+/// The hosts and the number of engines assigned to each so far.
 class Hosts {
  public:
   explicit Hosts(std::span<const HostOption> hosts)
@@ -29,22 +29,23 @@
   }
 
   std::span<const HostIndex> All() const { return this->all; }
-  std::span<const HostIndex> Of(const std::string& zone) const {
+  std::span<const HostIndex> InZone(const std::string& zone) const {
     const auto found = this->by_zone.find(zone);
     return found != this->by_zone.end() ? std::span(found->second)
                                         : std::span<const HostIndex>();
   }
 
-  /// Gives the engine to the first in its order that owns less than `most`.
-  std::optional<HostIndex> Give(const std::string& engine,
-                                std::span<const HostIndex> among,
-                                std::size_t most) {
+  /// Assigns the engine to the host with the highest hash weight among those
+  /// that own fewer than `limit` engines.
+  std::optional<HostIndex> Assign(const std::string& engine,
+                                  std::span<const HostIndex> among,
+                                  std::size_t limit) {
     std::optional<HostIndex> best;
     std::uint64_t best_weight = 0;
     for (const HostIndex host : among) {
       const std::uint64_t weight = Hash64(engine, this->keys[host]);
-      const bool has_room = this->owned[host] < most;
-      if (has_room && (!best.has_value() || weight > best_weight)) {
+      const bool below_limit = this->owned[host] < limit;
+      if (below_limit && (!best.has_value() || weight > best_weight)) {
         best = host;
         best_weight = weight;
       }
@@ -62,19 +63,20 @@
   std::map<std::string, std::vector<HostIndex>> by_zone;
 };
 
-/// Most engines of a host where `engines` are spread over `hosts`.
-std::size_t BoundOf(std::size_t engines, std::size_t hosts,
-                    std::size_t most_each) {
+/// Maximum number of engines per host.
+std::size_t MaxPerHost(std::size_t engines, std::size_t hosts,
+                       std::size_t max_per_host) {
   if (hosts == 0) {
     return 0;
   }
-  const std::size_t with_extra = engines * (kExtraShare + 1);
-  const std::size_t shares = hosts * kExtraShare;
-  return std::min(most_each, (with_extra + shares - 1) / shares);
+  const std::size_t with_extra = engines * (kExtraShareDivisor + 1);
+  const std::size_t shares = hosts * kExtraShareDivisor;
+  return std::min(max_per_host, (with_extra + shares - 1) / shares);
 }
 
-/// The same order in every process: whoever comes first gets the room.
-std::vector<std::size_t> OrderOf(std::span<const HostedEngine> engines) {
+/// Indexes of the engines sorted by address, so that every process assigns them
+/// in the same order.
+std::vector<std::size_t> AddressOrder(std::span<const HostedEngine> engines) {
   std::vector<std::size_t> order;
   order.resize(engines.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
@@ -88,46 +90,49 @@
 
 std::vector<std::optional<std::size_t>> ChooseHosts(
     std::span<const HostedEngine> engines, std::span<const HostOption> hosts,
-    std::size_t most_each) {
+    std::size_t max_per_host) {
   std::vector<std::optional<std::size_t>> chosen(engines.size());
   std::map<std::string, std::size_t> engines_of_zone;
   for (const HostedEngine& engine : engines) {
     ++engines_of_zone[engine.zone];
   }
-  Hosts room(hosts);
-  const std::vector<std::size_t> order = OrderOf(engines);
+  Hosts assignment(hosts);
+  const std::vector<std::size_t> order = AddressOrder(engines);
   for (const std::size_t index : order) {
     const HostedEngine& engine = engines[index];
-    const auto near = room.Of(engine.zone);
-    chosen[index] = room.Give(
-        engine.address, near,
-        BoundOf(engines_of_zone.at(engine.zone), near.size(), most_each));
+    const auto local_hosts = assignment.InZone(engine.zone);
+    chosen[index] =
+        assignment.Assign(engine.address, local_hosts,
+                          MaxPerHost(engines_of_zone.at(engine.zone),
+                                     local_hosts.size(), max_per_host));
   }
-  const std::size_t bound = BoundOf(engines.size(), hosts.size(), most_each);
+  const std::size_t bound =
+      MaxPerHost(engines.size(), hosts.size(), max_per_host);
   for (const std::size_t index : order) {
     const std::string& address = engines[index].address;
     if (!chosen[index].has_value()) {
-      chosen[index] = room.Give(address, room.All(), bound);
+      chosen[index] = assignment.Assign(address, assignment.All(), bound);
     }
     if (!chosen[index].has_value()) {
-      chosen[index] = room.Give(address, room.All(), most_each);
+      chosen[index] =
+          assignment.Assign(address, assignment.All(), max_per_host);
     }
   }
   return chosen;
 }
 
-std::size_t ShareOfSlots(const std::string& entry, const std::string& engine,
-                         std::size_t slots, std::size_t entries) {
+std::size_t SlotShare(const std::string& entry, const std::string& engine,
+                      std::size_t slots, std::size_t entries) {
   if (entries == 0) {
-    return 1;  // Nobody has said how many share it.
+    return 1;  // The number of processes is unknown.
   }
-  const std::size_t whole = slots / entries;
-  const double rest =
+  const std::size_t guaranteed = slots / entries;
+  const double remainder =
       static_cast<double>(slots % entries) / static_cast<double>(entries);
-  const double place =
+  const double hash_fraction =
       static_cast<double>(Hash64(engine, Hash64(entry))) /
       static_cast<double>(std::numeric_limits<std::uint64_t>::max());
-  return whole + (place < rest ? 1 : 0);
+  return guaranteed + (hash_fraction < remainder ? 1 : 0);
 }
 
 }  // namespace papayarack::placement
--- a/src/placement/internal/slotsearch.cpp
+++ b/src/placement/internal/slotsearch.cpp
@@ -9,8 +9,8 @@
   if (this->queueing) {
     return NoSlot{"no slot came free in time"};
   }
-  bool unowned_full = false;
-  while (this->asks < kQuickAsks) {
+  bool unowned_share_used = false;
+  while (this->asks < kMaxImmediateAsks) {
     const auto option =
         chooser.Choose(this->service, this->own_zone, this->tried, now);
     if (!option.has_value()) {
@@ -23,14 +23,15 @@
       return AskGate{*option};
     }
     const bool unlimited = option->slots == 0;
-    if (unlimited || chooser.OwnUse(option->address) < option->unowned_share) {
+    if (unlimited ||
+        chooser.OwnRequests(option->address) < option->unowned_share) {
       ++this->asks;
       return SendUngated{*option};
     }
-    unowned_full = true;
+    unowned_share_used = true;
   }
   if (this->asks == 0) {
-    return NoSlot{unowned_full
+    return NoSlot{unowned_share_used
                       ? "its share of engines that nobody owns is in use"
                       : "no replica of the service is known"};
   }
@@ -38,7 +39,7 @@
 }
 
 SearchStep SlotSearch::QueueAtLeastBusy(std::chrono::milliseconds budget) {
-  if (!this->least_busy.has_value() || *this->least_wait > budget) {
+  if (!this->least_busy.has_value() || *this->shortest_wait > budget) {
     return NoSlot{"the shortest queue is longer than the caller can wait"};
   }
   this->queueing = true;
@@ -49,15 +50,16 @@
 }
 
 void SlotSearch::Busy(std::chrono::milliseconds expected_wait) {
-  if (!this->least_wait.has_value() || expected_wait < *this->least_wait) {
-    this->least_wait = expected_wait;
+  if (!this->shortest_wait.has_value() ||
+      expected_wait < *this->shortest_wait) {
+    this->shortest_wait = expected_wait;
     this->least_busy = this->asked;
   }
 }
 
 void SlotSearch::Closed() {
   if (this->queueing) {
-    this->BeginAnew();
+    this->ResetSearch();
   } else {
     this->Unanswered();
   }
@@ -78,18 +80,18 @@
   }
 }
 
-void SlotSearch::BeginAnew() {
+void SlotSearch::ResetSearch() {
   this->asks = 0;
   this->queueing = false;
   this->longest_wait = std::chrono::milliseconds(0);
   this->asked.reset();
   this->least_busy.reset();
-  this->least_wait.reset();
+  this->shortest_wait.reset();
 }
 
 void SlotSearch::Restart(const EngineChooser& chooser,
                          const EngineStart& failed) {
-  this->BeginAnew();
+  this->ResetSearch();
   if (chooser.HasUntried(this->service, this->tried)) {
     return;
   }
--- a/src/placement/slotsearch.h
+++ b/src/placement/slotsearch.h
@@ -14,14 +14,14 @@
 
 namespace papayarack::placement {
 
-/// Ask the gate of `engine` for a slot.
+/// The next step is to ask the gate of `engine` for a slot.
 struct AskGate {
   EngineOption engine;
-  /// How long the request may queue there; zero wants an answer at once.
+  /// How long the request may queue there; zero asks for an immediate reply.
   std::chrono::milliseconds longest_wait{0};
 };
 
-/// Send to `engine` without a slot: nobody owns its slots at the moment.
+/// The next step is to send to `engine` without a slot, as it has no owner now.
 struct SendUngated {
   EngineOption engine;
 };
@@ -33,71 +33,71 @@
 
 using SearchStep = std::variant<AskGate, SendUngated, NoSlot>;
 
-/// Where one request looks for a slot, and when it stops looking.
+/// Decides where one request asks for a slot, and when it gives up.
 ///
-/// Load pattern: at a wave's edge some gates are full while others have room,
-/// so a few are asked for a free slot at once, a round trip each. At its peak
-/// all are full; then the request queues once, at the gate that named the
-/// shortest wait, if that is within what its caller can wait, and is refused
+/// Load pattern: at the start of a wave some gates are full and others are not,
+/// so a few are asked in turn for an immediate slot, one round trip each. At
+/// its peak all are full; then the request queues once, at the gate that
+/// reported the shortest wait, if its caller can wait that long, and is refused
 /// at once otherwise. Thread safety: none.
 class SlotSearch {
  public:
   SlotSearch(std::string service, std::string own_zone)
       : service(std::move(service)), own_zone(std::move(own_zone)) {}
 
-  /// What to do next; `budget` is how long the request may still queue.
+  /// Returns the next step; `budget` is how long the request may still queue.
   SearchStep Next(EngineChooser& chooser, std::chrono::milliseconds budget,
                   Time now);
-  /// The gate asked last has no slot; a new request would wait this long.
+  /// The last gate asked has no slot; a new request would wait this long.
   void Busy(std::chrono::milliseconds expected_wait);
-  /// The gate asked last gives no slots at the moment: its engine is gone or
-  /// leaves. A request that queued there looks for a slot elsewhere.
+  /// The last gate asked grants no slots, as its engine is down or shutting
+  /// down. A request that queued there looks for a slot elsewhere.
   void Closed();
-  /// The gate asked last did not answer, so nothing was sent to its engine.
+  /// The last gate asked did not respond, so nothing was sent to its engine.
   void Unanswered();
-  /// The process asked last does not own the engine, or is a host that did not
-  /// answer: the engine may be used without a slot.
+  /// The last process asked does not own the engine, or is a host that did not
+  /// respond: the engine may be used without a slot.
   void NoOwner();
-  /// Whether the gate asked last is frozen or cut off: it answers an ask within
-  /// a round trip, and one that queues at the end of its wait. Symptom guarded
-  /// against: a request queued at a gate whose VM froze waits until its
-  /// deadline, where its caller could come back at once.
-  bool Silent(Duration asked_ago) const {
-    return asked_ago > this->longest_wait + kAskSilence;
+  /// Whether the reply to the last ask is overdue: a gate replies within a
+  /// round trip, or at the end of the wait if the request queues. Without
+  /// this check a request queued at a gate whose VM froze waits until its
+  /// deadline, although its caller could retry at once.
+  bool AskTimedOut(Duration asked_ago) const {
+    return asked_ago > this->longest_wait + kAskTimeout;
   }
-  /// Begins anew after a run that failed at `failed`: engines not tried yet go
-  /// first; once every one was tried, all may be tried again, it last. A
-  /// replica that started again meanwhile counts as not tried.
+  /// Restarts the search after a run failed at `failed`. Untried engines come
+  /// first; once all were tried, all may be tried again, `failed` last. A
+  /// replica that has restarted since counts as untried.
   void Restart(const EngineChooser& chooser, const EngineStart& failed);
 
-  /// The shortest wait that a gate named; nothing before one did.
-  std::optional<std::chrono::milliseconds> LeastWait() const {
-    return this->least_wait;
+  /// The shortest wait reported by a gate; nothing if none has reported one.
+  std::optional<std::chrono::milliseconds> ShortestWait() const {
+    return this->shortest_wait;
   }
   std::size_t Asks() const { return this->asks; }
 
   /// Gates asked for a free slot before the request queues at the least busy
-  /// one. An ask takes a round trip within a region. An entry hears of each
-  /// gate about once a second, so at a wave's edge it asks nearly blindly, and
-  /// fewer asks leave free slots unfound.
-  static constexpr std::size_t kQuickAsks = 6;
-  /// Sixty times a round trip within a region.
-  static constexpr std::chrono::milliseconds kAskSilence{120};
+  /// one. An ask takes a round trip within a region. An entry gets a report of
+  /// each gate about once a second, so at the start of a wave it knows little
+  /// of their load, and fewer asks would miss free slots.
+  static constexpr std::size_t kMaxImmediateAsks = 6;
+  /// 60 round trips within a region.
+  static constexpr std::chrono::milliseconds kAskTimeout{120};
 
  private:
-  /// Asks for a free slot again; what was tried stays tried.
-  void BeginAnew();
+  /// Starts asking for a free slot again; keeps `tried`.
+  void ResetSearch();
   SearchStep QueueAtLeastBusy(std::chrono::milliseconds budget);
 
   std::string service;
   std::string own_zone;
-  std::vector<EngineStart> tried;          ///< Asked or sent to, this round.
-  std::optional<EngineOption> asked;       ///< Whose gate was asked last.
-  std::optional<EngineOption> least_busy;  ///< Whose wait was the shortest.
-  std::optional<std::chrono::milliseconds> least_wait;
+  std::vector<EngineStart> tried;  ///< Asked or sent to; cleared once all were.
+  std::optional<EngineOption> asked;       ///< Engine of the last gate asked.
+  std::optional<EngineOption> least_busy;  ///< Reported the shortest wait.
+  std::optional<std::chrono::milliseconds> shortest_wait;
   std::size_t asks = 0;
   bool queueing = false;
-  std::chrono::milliseconds longest_wait{0};  ///< At the gate asked last.
+  std::chrono::milliseconds longest_wait{0};  ///< At the last gate asked.
 };
 
 }  // namespace papayarack::placement
--- a/src/placement/tests/enginechooser_tests.cpp
+++ b/src/placement/tests/enginechooser_tests.cpp
@@ -33,9 +33,9 @@
   }
 }
 
-// Load: a burst from one entry that knows nothing of the others. Its own use is
-// all that it can go by, and it must not all land at one engine.
-TEST_CASE("a burst is spread by the entry's own use") {
+// Load: a burst from one entry without any report. It knows only its own
+// requests, and must not send the whole burst to one engine.
+TEST_CASE("a burst is spread by the entry's own requests") {
   EngineChooser chooser(1);
   chooser.SetOptions("llm", Fleet(12));
   std::map<std::string, int> counts;
@@ -50,22 +50,23 @@
   }
 }
 
-// A gate whose engine is gone says so within a round trip, so it is asked again
-// soon; doubling would leave the engine unused for seconds after it is back.
-TEST_CASE("an engine whose gate is closed is set aside for a moment") {
+// A gate whose engine is down replies within a round trip, so it can be asked
+// again soon; doubling the backoff would leave the engine unused for seconds
+// after it recovers.
+TEST_CASE("the backoff of an engine whose gate is closed does not grow") {
   EngineChooser chooser(1);
   chooser.SetOptions("llm", Fleet(2));
   for (int at = 0; at < 1000; at += 250) {
     chooser.Closed("e0", At(at));
-    CHECK(chooser.AsideUntil("e0") ==
-          At(at) + Duration(EngineChooser::kFirstAside));
+    CHECK(chooser.BackoffUntil("e0") ==
+          At(at) + Duration(EngineChooser::kFirstBackoff));
     CHECK(chooser.Choose("llm", "z", {}, At(at + 1))->address == "e1");
   }
 }
 
-// Load: a trough, in which all engines have room. Bytes of streams should stay
-// in the zone, but not at the price of a fuller engine.
-TEST_CASE("of equally busy engines one of the own zone is chosen") {
+// Load: a trough in which all engines have free slots. Streams should stay in
+// the zone, but not at the cost of a busier engine.
+TEST_CASE("among equally busy engines a local one is chosen") {
   std::vector<EngineOption> options = Fleet(4);
   options[3].zone = "own";
   EngineChooser chooser(1);
@@ -80,21 +81,21 @@
   }
 }
 
-TEST_CASE("an engine that failed is set aside, and let back") {
+TEST_CASE("an engine that failed backs off and is used again later") {
   EngineChooser chooser(1);
   chooser.SetOptions("llm", Fleet(2));
   chooser.Failed("e0", At(0));
   CHECK(chooser.Choose("llm", "z", {}, At(100))->address == "e1");
-  CHECK(chooser.AsideUntil("e0") < At(500));
-  SECTION("for longer after each failure in a row") {
+  CHECK(chooser.BackoffUntil("e0") < At(500));
+  SECTION("the backoff grows with consecutive failures up to a limit") {
     for (int i = 0; i < 10; ++i) {
       chooser.Failed("e0", At(0));
     }
-    CHECK(chooser.AsideUntil("e0") == At(4000));
+    CHECK(chooser.BackoffUntil("e0") == At(4000));
     chooser.Succeeded("e0");
-    CHECK(chooser.AsideUntil("e0") < At(0));
+    CHECK(chooser.BackoffUntil("e0") < At(0));
   }
-  SECTION("but still chosen when there is no other") {
+  SECTION("it is still chosen if there is no other") {
     const EngineStart first{"e0", "id0"};
     const EngineStart second{"e1", "id1"};
     CHECK(chooser.Choose("llm", "z", Starts{second}, At(100))->address == "e0");
@@ -103,11 +104,10 @@
   }
 }
 
-// Symptom: a replica that has just started gets no request for up to 4 s, or
-// is taken for full. Sequence: its former start reports that it is full and
-// breaks off several requests; it starts again under its id. Cause: what was
-// believed of the former start is kept, as address and id are the same.
-TEST_CASE("what is believed of a replica ends with its start") {
+// Guards against a restarted replica that gets no request for up to 4 s, or is
+// considered full: before the restart it reports that it is full and breaks off
+// several requests. State keyed only by address and id survives the restart.
+TEST_CASE("a restart resets the state of a replica") {
   constexpr std::uint64_t kStart = 1'700'000'000'000;
   EngineChooser chooser(1);
   std::vector<EngineOption> options = Fleet(2);
@@ -120,48 +120,48 @@
   chooser.Reported("e1", {7, 0}, At(0));
   REQUIRE(chooser.Choose("llm", "z", {}, At(1))->address == "e1");
 
-  SECTION("when the list shows a later start") {
+  SECTION("when the list reports a later start") {
     options[0].started_ms = kStart + 1;
     const auto restarts = chooser.SetOptions("llm", options);
     REQUIRE(restarts.size() == 1);
     CHECK(restarts[0].before.started_ms == kStart);
     CHECK(restarts[0].now.started_ms == kStart + 1);
     CHECK(restarts[0].now.id == "id0");
-    CHECK(chooser.AsideUntil("e0") == Time{});
+    CHECK(chooser.BackoffUntil("e0") == Time{});
     CHECK(chooser.Choose("llm", "z", {}, At(1))->address == "e0");
   }
   SECTION(
-      "when its gate tells a later start, and a list that lags does not "
-      "bring the former back") {
-    const auto restart = chooser.SawStart("e0", kStart + 1);
+      "when its gate reports a later start, which a stale list does not "
+      "revert") {
+    const auto restart = chooser.ObserveStart("e0", kStart + 1);
     REQUIRE(restart.has_value());
     CHECK(restart->before.started_ms == kStart);
-    CHECK(chooser.AsideUntil("e0") == Time{});
+    CHECK(chooser.BackoffUntil("e0") == Time{});
     CHECK(chooser.SetOptions("llm", options).empty());
-    CHECK_FALSE(chooser.SawStart("e0", kStart).has_value());
+    CHECK_FALSE(chooser.ObserveStart("e0", kStart).has_value());
     const auto chosen = chooser.Choose("llm", "z", {}, At(1));
     CHECK(chosen->address == "e0");
     CHECK(chosen->started_ms == kStart + 1);
   }
-  SECTION("when another replica is at its address") {
+  SECTION("when another replica takes over its address") {
     options[0].id = "other";
     options[0].started_ms = 0;
     REQUIRE(chooser.SetOptions("llm", options).size() == 1);
-    CHECK(chooser.AsideUntil("e0") == Time{});
+    CHECK(chooser.BackoffUntil("e0") == Time{});
     CHECK(chooser.Choose("llm", "z", {}, At(1))->started_ms == 0);
   }
-  SECTION("but not when a start is told for the first time, or not at all") {
-    CHECK_FALSE(chooser.SawStart("e1", kStart).has_value());
-    CHECK_FALSE(chooser.SawStart("e0", 0).has_value());
-    CHECK_FALSE(chooser.SawStart("e9", kStart).has_value());
+  SECTION("but not when a start is reported for the first time, or none is") {
+    CHECK_FALSE(chooser.ObserveStart("e1", kStart).has_value());
+    CHECK_FALSE(chooser.ObserveStart("e0", 0).has_value());
+    CHECK_FALSE(chooser.ObserveStart("e9", kStart).has_value());
     options[0].started_ms = 0;
     CHECK(chooser.SetOptions("llm", options).empty());
-    CHECK(chooser.AsideUntil("e0") > At(1));
+    CHECK(chooser.BackoffUntil("e0") > At(1));
   }
-  SECTION("while requests that this entry has there are counted on") {
+  SECTION("but the count of this entry's requests is kept") {
     chooser.Started("e0");
-    chooser.SawStart("e0", kStart + 1);
-    CHECK(chooser.OwnUse("e0") == 1);
+    chooser.ObserveStart("e0", kStart + 1);
+    CHECK(chooser.OwnRequests("e0") == 1);
   }
 }
 
--- a/src/placement/tests/enginehosts_tests.cpp
+++ b/src/placement/tests/enginehosts_tests.cpp
@@ -47,10 +47,10 @@
 
 }  // namespace
 
-TEST_CASE("engines that nobody stands beside are spread over hosts") {
+TEST_CASE("engines without a gate on their VM are spread over hosts") {
   const auto engines = MakeEngines(200, 5);
 
-  SECTION("each has one owner, in its own zone") {
+  SECTION("each engine has one owner, in its own zone") {
     const auto hosts = MakeHosts(45, 5);
     const auto chosen = ChooseHosts(engines, hosts);
     for (std::size_t i = 0; i < engines.size(); ++i) {
@@ -58,7 +58,7 @@
       CHECK(hosts[*chosen[i]].zone == engines[i].zone);
     }
   }
-  SECTION("no host owns more than its share and a quarter") {
+  SECTION("no host owns more than its equal share and a quarter") {
     for (const std::size_t count : {5, 10, 45}) {
       std::map<std::string, std::size_t> owned;
       for (const auto& [engine, owner] :
@@ -71,14 +71,14 @@
       }
     }
   }
-  SECTION("five hosts carry two hundred engines") {
+  SECTION("five hosts can own two hundred engines") {
     CHECK(OwnersOf(engines, MakeHosts(5, 5)).size() == 200);
   }
-  SECTION("what is over the bound of all hosts stays without an owner") {
-    CHECK(OwnersOf(engines, MakeHosts(2, 5)).size() == 2 * kMostHosted);
+  SECTION("engines beyond the limit of all hosts have no owner") {
+    CHECK(OwnersOf(engines, MakeHosts(2, 5)).size() == 2 * kMaxEnginesPerHost);
     CHECK(OwnersOf(engines, {}).empty());
   }
-  SECTION("a zone without hosts is served from the others") {
+  SECTION("engines of a zone without hosts are owned from other zones") {
     auto hosts = MakeHosts(20, 5);
     std::erase_if(hosts,
                   [](const HostOption& host) { return host.zone == "zone-0"; });
@@ -86,11 +86,11 @@
   }
 }
 
-// Symptom: all engines of a fleet change their owner when one VM is lost, and
-// their batch items stand still. Cause: the choice depends on how many hosts
-// there are, or on the order in which a process heard of them.
-TEST_CASE("who owns an engine moves only with its host") {
-  rc::check("the order of the list does not matter", [] {
+// Guards against all engines of a fleet changing their owner when one VM is
+// lost, which interrupts their batch items. This happens if the assignment
+// depends on the number of hosts or on the order in which a process lists them.
+TEST_CASE("an engine changes its owner only when its host is lost") {
+  rc::check("the order of the lists does not matter", [] {
     const auto engines = MakeEngines(*rc::gen::inRange(1, 60), 3);
     auto hosts = MakeHosts(*rc::gen::inRange(1, 12), 3);
     const auto before = OwnersOf(engines, hosts);
@@ -99,7 +99,7 @@
     std::reverse(shuffled.begin(), shuffled.end());
     RC_ASSERT(OwnersOf(shuffled, hosts) == before);
   });
-  rc::check("a lost host's engines move, few others do", [] {
+  rc::check("the engines of a lost host move, and few others", [] {
     const auto engines = MakeEngines(120, 3);
     auto hosts = MakeHosts(*rc::gen::inRange(9, 30), 3);
     const auto before = OwnersOf(engines, hosts);
@@ -112,24 +112,24 @@
     std::size_t moved = 0;
     for (const auto& [engine, owner] : before) {
       RC_ASSERT(after.count(engine) == 1);
-      const bool had_to = owner == lost_address;
-      moved += !had_to && after.at(engine) != owner ? 1 : 0;
+      const bool owner_lost = owner == lost_address;
+      moved += !owner_lost && after.at(engine) != owner ? 1 : 0;
     }
-    // Those that a full host turned away find room, and the other way round.
+    // Others move as the limit of their preferred host is reached or freed.
     RC_ASSERT(moved <= engines.size() / 5);
   });
 }
 
-// Symptom: a fleet without owners refuses callers beside idle engines, or fills
-// each engine's own queue. Cause: each process used one slot of each engine,
-// however many processes there were.
-TEST_CASE("processes share the slots of an engine that nobody owns") {
+// Guards against a fleet without owners that refuses callers although engines
+// are idle, or fills the internal queue of each engine. This happens if each
+// process uses one slot of each engine, however many processes there are.
+TEST_CASE("processes share the slots of an engine without an owner") {
   const auto sum = [](std::size_t entries, std::size_t slots) {
     std::size_t all = 0;
     for (std::size_t engine = 0; engine < 100; ++engine) {
       for (std::size_t entry = 0; entry < entries; ++entry) {
-        all += ShareOfSlots("entry-" + std::to_string(entry),
-                            "10.1.0." + std::to_string(engine), slots, entries);
+        all += SlotShare("entry-" + std::to_string(entry),
+                         "10.1.0." + std::to_string(engine), slots, entries);
       }
     }
     return static_cast<double>(all) / 100;
@@ -137,7 +137,7 @@
   CHECK(sum(3, 8) == Approx(8).margin(0.5));
   CHECK(sum(18, 7) == Approx(7).margin(0.7));
   CHECK(sum(90, 7) == Approx(7).margin(0.9));
-  CHECK(ShareOfSlots("entry", "engine", 8, 0) == 1);
+  CHECK(SlotShare("entry", "engine", 8, 0) == 1);
 }
 
 }  // namespace papayarack::placement
--- a/src/placement/tests/slotsearch_tests.cpp
+++ b/src/placement/tests/slotsearch_tests.cpp
@@ -24,17 +24,17 @@
   return options;
 }
 
-/// The start of an engine of Fleet.
+/// The start of an engine created by Fleet.
 EngineStart StartAt(const std::string& address) {
   return {address, "id" + address.substr(1)};
 }
 
-/// Asks quickly until the search queues or ends; every gate is busy and names
-/// the next of `waits`, those after them the last again.
+/// Asks for immediate slots until the search queues or ends. Every gate is busy
+/// and reports the next of `waits`, or the last once they are used up.
 SearchStep AllBusy(SlotSearch& search, EngineChooser& chooser,
                    const std::vector<int>& waits,
                    std::vector<std::string>& asked) {
-  for (std::size_t i = 0; i < SlotSearch::kQuickAsks; ++i) {
+  for (std::size_t i = 0; i < SlotSearch::kMaxImmediateAsks; ++i) {
     const SearchStep step = search.Next(chooser, kBudget, At(0));
     const auto& ask = std::get<AskGate>(step);
     CHECK(ask.longest_wait == milliseconds(0));
@@ -46,12 +46,12 @@
 
 }  // namespace
 
-// Symptom: a caller is refused although a gate that was asked named a wait of
-// 86 ms and the caller could wait 249 ms. Events: three gates are busy (86, 94
-// and 287 ms); the request then queues at a fourth gate, not asked before,
-// which expects 276 ms and refuses. Cause: the place in a queue was chosen
-// among the least busy gate and all that had not been asked.
-TEST_CASE("a request queues at the gate that named the shortest wait") {
+// Guards against a caller that is refused although a gate reported a wait of
+// 86 ms and the caller could wait 249 ms. Three gates are busy (86, 94 and
+// 287 ms); the request then queues at a fourth gate, not asked before, which
+// expects 276 ms and refuses. This happens if gates that were not asked are
+// considered besides the least busy one.
+TEST_CASE("a request queues at the gate that reported the shortest wait") {
   EngineChooser chooser(1);
   chooser.SetOptions("llm", Fleet(12));
   SlotSearch search("llm", "z");
@@ -60,32 +60,32 @@
   const auto& queue = std::get<AskGate>(step);
   CHECK(queue.engine.address == asked[1]);
   CHECK(queue.longest_wait == kBudget);
-  // A gate that froze meanwhile must not hold the request until its deadline.
-  CHECK_FALSE(search.Silent(milliseconds(300)));
-  CHECK(search.Silent(milliseconds(400)));
-  SECTION("and is refused when no slot came free there") {
+  // A gate that froze must not block the request until its deadline.
+  CHECK_FALSE(search.AskTimedOut(milliseconds(300)));
+  CHECK(search.AskTimedOut(milliseconds(400)));
+  SECTION("and is refused if no slot became free there") {
     search.Busy(milliseconds(300));
     CHECK(std::holds_alternative<NoSlot>(search.Next(chooser, kBudget, At(9))));
-    CHECK(search.LeastWait() == milliseconds(86));
+    CHECK(search.ShortestWait() == milliseconds(86));
   }
 }
 
-TEST_CASE("a request that cannot be in time is refused without queueing") {
+TEST_CASE("a request that would be too late is refused without queueing") {
   EngineChooser chooser(1);
   chooser.SetOptions("llm", Fleet(12));
   SlotSearch search("llm", "z");
   std::vector<std::string> asked;
   const SearchStep step = AllBusy(search, chooser, {310, 290, 287}, asked);
   CHECK(std::holds_alternative<NoSlot>(step));
-  CHECK(search.LeastWait() == milliseconds(287));
+  CHECK(search.ShortestWait() == milliseconds(287));
 }
 
-TEST_CASE("a gate that does not answer does not count as asked") {
+TEST_CASE("a gate that does not respond does not count as asked") {
   EngineChooser chooser(1);
   chooser.SetOptions("llm", Fleet(12));
   SlotSearch search("llm", "z");
   std::set<std::string> asked;
-  CHECK(search.Silent(milliseconds(130)));
+  CHECK(search.AskTimedOut(milliseconds(130)));
   for (int i = 0; i < 5; ++i) {
     const SearchStep step = search.Next(chooser, kBudget, At(0));
     asked.insert(std::get<AskGate>(step).engine.address);
@@ -94,21 +94,22 @@
   CHECK(asked.size() == 5);
 }
 
-// Symptom: callers are refused while other engines have room. Sequence: a
-// request queues at the least busy gate; the engine behind that crashes. Cause:
-// the gate's word that it gives no slots was taken for the end of the wait.
-TEST_CASE("a request goes on looking when a gate closes") {
+// Guards against callers that are refused although other engines have free
+// slots. A request queues at the least busy gate, whose engine then crashes;
+// the gate closing must not end the search.
+TEST_CASE("a request continues its search when a gate closes") {
   EngineChooser chooser(1);
   chooser.SetOptions("llm", Fleet(12));
   SlotSearch search("llm", "z");
-  SECTION("when it asked for a free slot, and that does not count as asked") {
+  SECTION(
+      "when it asked for a free slot, and the gate does not count as asked") {
     std::set<std::string> asked;
-    for (std::size_t i = 0; i < SlotSearch::kQuickAsks + 2; ++i) {
+    for (std::size_t i = 0; i < SlotSearch::kMaxImmediateAsks + 2; ++i) {
       const SearchStep step = search.Next(chooser, kBudget, At(0));
       asked.insert(std::get<AskGate>(step).engine.address);
       search.Closed();
     }
-    CHECK(asked.size() == SlotSearch::kQuickAsks + 2);
+    CHECK(asked.size() == SlotSearch::kMaxImmediateAsks + 2);
   }
   SECTION("when it queued there") {
     std::vector<std::string> asked;
@@ -122,11 +123,11 @@
   }
 }
 
-// Symptom: callers wait for seconds or are refused beside idle engines.
-// Sequence: the VMs of the hosts lose power, or have just started again and do
-// not know yet what they own; the engines run on. Cause: each request asked one
-// host after the other.
-TEST_CASE("engines are used while their hosts are not there") {
+// Guards against callers that wait for seconds or are refused although engines
+// are idle. The VMs of the hosts lose power, or have just restarted and do not
+// know yet what they own, while the engines keep running. This happens if each
+// request asks one host after the other.
+TEST_CASE("engines are used while their hosts are unavailable") {
   EngineChooser chooser(1);
   auto options = Fleet(4);
   for (EngineOption& option : options) {
@@ -138,7 +139,7 @@
   SlotSearch search("llm", "z");
   const SearchStep first = search.Next(chooser, kBudget, At(0));
   const std::string asked = std::get<AskGate>(first).engine.address;
-  SECTION("one that does not own the engine leaves it to be used") {
+  SECTION("an engine is used when the host asked does not own it") {
     search.NoOwner();
     chooser.NotOwned(asked, At(1));
     std::set<std::string> sent;
@@ -152,21 +153,21 @@
     }
     CHECK(sent == std::set<std::string>{asked});
   }
-  SECTION("one that does not answer is asked by one request only") {
+  SECTION("a host that does not respond is asked by one request only") {
     search.NoOwner();
-    chooser.HostSilent("host", At(1));
+    chooser.HostTimedOut("host", At(1));
     for (int i = 0; i < 4; ++i) {
       SlotSearch other("llm", "z");
       const SearchStep next = other.Next(chooser, kBudget, At(2));
       REQUIRE(std::holds_alternative<SendUngated>(next));
       chooser.Started(std::get<SendUngated>(next).engine.address);
     }
-    SECTION("the engines' shares are a bound") {
+    SECTION("requests beyond the shares of the engines are refused") {
       SlotSearch other("llm", "z");
       CHECK(
           std::holds_alternative<NoSlot>(other.Next(chooser, kBudget, At(2))));
     }
-    SECTION("and asked again later") {
+    SECTION("the host is asked again later") {
       SlotSearch other("llm", "z");
       const Time later = At(2) + EngineChooser::kUnownedFor;
       CHECK(
@@ -182,7 +183,7 @@
   const SearchStep step = first.Next(chooser, kBudget, At(0));
   const std::string used = std::get<SendUngated>(step).engine.address;
   chooser.Started(used);
-  SECTION("none at engines whose slots are all for other entries") {
+  SECTION("no request at engines whose slots fall to other entries") {
     EngineChooser others(1);
     auto options = Fleet(3, false);
     options[0].unowned_share = 0;
@@ -195,14 +196,14 @@
     SlotSearch second("llm", "z");
     CHECK(std::holds_alternative<NoSlot>(second.Next(others, kBudget, At(0))));
   }
-  SECTION("one of each entry at each engine") {
+  SECTION("one request of each entry at each engine") {
     SlotSearch second("llm", "z");
     const SearchStep other = second.Next(chooser, kBudget, At(0));
     chooser.Started(std::get<SendUngated>(other).engine.address);
     SlotSearch third("llm", "z");
     CHECK(std::holds_alternative<NoSlot>(third.Next(chooser, kBudget, At(0))));
   }
-  SECTION("a failed run goes elsewhere, and back once all were tried") {
+  SECTION("a failed run is retried elsewhere, and there once all were tried") {
     first.Restart(chooser, StartAt(used));
     const SearchStep second = first.Next(chooser, kBudget, At(0));
     const std::string other = std::get<SendUngated>(second).engine.address;
@@ -214,11 +215,11 @@
   }
 }
 
-// Symptom: a stream whose replica crashed is not taken up there again, though
-// that has started again and no other has room. Sequence: two replicas are
-// asked, the second fails, the first starts again under its id. Cause: the
-// request holds the first for tried, by its address.
-TEST_CASE("a replica that started again counts as not tried") {
+// Guards against a stream whose replica crashed and that is not resumed at a
+// restarted replica, although no other has free slots. Two replicas are asked,
+// the second fails, the first restarts under its id. This happens if the search
+// records tried replicas by address only.
+TEST_CASE("a restarted replica counts as untried") {
   EngineChooser chooser(1);
   std::vector<EngineOption> options = Fleet(3);
   for (EngineOption& option : options) {
@@ -232,7 +233,7 @@
   const SearchStep second = search.Next(chooser, kBudget, At(0));
   const EngineOption failed = std::get<AskGate>(second).engine;
   search.Restart(chooser, failed.Start());
-  REQUIRE(chooser.SawStart(asked.address, 200).has_value());
+  REQUIRE(chooser.ObserveStart(asked.address, 200).has_value());
   std::set<std::string> offered;
   for (int i = 0; i < 2; ++i) {
     const SearchStep step = search.Next(chooser, kBudget, At(0));
@@ -243,9 +244,9 @@
   CHECK(offered.count(failed.address) == 0);
 }
 
-// Load: a wave's edge, three of four gates are full, and the entry has heard
-// nothing of them lately. With three asks more than a third of the requests
-// find no free slot; with six it is less than a fifth.
+// Load: the start of a wave; three of four gates are full and the entry has no
+// recent reports. With three asks more than a third of the requests find no
+// free slot, with six less than a fifth.
 TEST_CASE("most requests find a free slot while some gates have one") {
   constexpr int kGates = 36;
   constexpr int kRequests = 400;
@@ -272,7 +273,7 @@
   CHECK(without_slot * 5 < kRequests);
 }
 
-TEST_CASE("without a known engine there is no slot") {
+TEST_CASE("there is no slot without a known engine") {
   EngineChooser chooser(1);
   SlotSearch search("llm", "z");
   CHECK(std::holds_alternative<NoSlot>(search.Next(chooser, kBudget, At(0))));
