--- a/src/nodes/batchrunner.h
+++ b/src/nodes/batchrunner.h
@@ -17,7 +17,7 @@
 #include "http/httpclient.h"
 #include "nodes/dialect.h"
 #include "routes/routetable.h"
-#include "slots/slotdesk.h"
+#include "slots/slotallocator.h"
 
 namespace papayarack::nodes {
 
@@ -61,7 +61,7 @@
 
   BatchRunner(RunnerTarget target, const Dialect& dialect,
               http::HttpClient& engine, coordination::GroupClient& jobs,
-              slots::SlotDesk& desk);
+              slots::SlotAllocator& desk);
   ~BatchRunner();
   BatchRunner(const BatchRunner&) = delete;
   BatchRunner& operator=(const BatchRunner&) = delete;
@@ -157,7 +157,7 @@
   const Dialect& dialect;
   http::HttpClient& engine;
   coordination::GroupClient& jobs;
-  slots::SlotDesk& desk;
+  slots::SlotAllocator& desk;
   routes::RouteTablePtr table;
   std::string engine_id;
   std::map<RunId, Run> runs;
--- a/src/nodes/engineowner.h
+++ b/src/nodes/engineowner.h
@@ -12,9 +12,9 @@
 #include "nodes/noderuntime.h"
 #include "nodes/ownedengine.h"
 #include "nodes/slotmessages.h"
-#include "slots/enginepulse.h"
+#include "slots/enginehealth.h"
 #include "slots/foreignruns.h"
-#include "slots/slotdesk.h"
+#include "slots/slotallocator.h"
 
 namespace papayarack::nodes {
 
@@ -88,7 +88,7 @@
 
   NodeRuntime& runtime;
   OwnedEngine owned;
-  slots::SlotDesk desk;
+  slots::SlotAllocator desk;
   http::HttpClient client;  ///< Of the engine.
   BatchRunner runner;
   std::map<transport::StreamId, Ticket> tickets;
@@ -98,7 +98,7 @@
   std::uint64_t started_ms = 0;  ///< As in EngineInstance.
   Time next_report{};
   std::optional<http::HttpCallId> report_call;  ///< Under way.
-  slots::EnginePulse pulse;
+  slots::EngineHealth pulse;
   bool engine_up = true;  ///< As last logged.
   slots::ForeignRuns foreign;
   LogThrottle report_problems;
--- a/src/nodes/internal/batchrunner.cpp
+++ b/src/nodes/internal/batchrunner.cpp
@@ -44,7 +44,8 @@
 
 BatchRunner::BatchRunner(RunnerTarget target, const Dialect& dialect,
                          http::HttpClient& engine,
-                         coordination::GroupClient& jobs, slots::SlotDesk& desk)
+                         coordination::GroupClient& jobs,
+                         slots::SlotAllocator& desk)
     : target(std::move(target)),
       dialect(dialect),
       engine(engine),
@@ -104,7 +105,7 @@
   const auto paused = static_cast<std::uint32_t>(std::ranges::count_if(
       this->runs,
       [](const auto& entry) { return entry.second.phase == Phase::kPaused; }));
-  const std::uint32_t room = this->desk.BatchRoom();
+  const std::uint32_t room = this->desk.FreeBatchSlots();
   return room > paused ? room - paused : 0;
 }
 
@@ -322,7 +323,7 @@
 
 void BatchRunner::StartNext() {
   const Time now = MonotonicNow();
-  while (this->desk.BatchRoom() > 0 && !this->stopping &&
+  while (this->desk.FreeBatchSlots() > 0 && !this->stopping &&
          !this->engine_id.empty() && this->table != nullptr) {
     // The one with the least time to spare, late ones last.
     RunId best = 0;
--- a/src/nodes/internal/engineowner.cpp
+++ b/src/nodes/internal/engineowner.cpp
@@ -163,7 +163,7 @@
   this->tickets[stream] = ticket;
   const slots::SlotRequest request{
       stream, ask.priority, asked + std::chrono::milliseconds(ask.wait_ms)};
-  switch (this->desk.Ask(request, now)) {
+  switch (this->desk.Acquire(request, now)) {
     case slots::SlotAnswer::kGranted:
       this->Answer(stream, ticket, SlotVerdict::kGranted);
       this->runner.Balance();
@@ -214,7 +214,7 @@
     return false;
   }
   const Time now = MonotonicNow();
-  this->desk.Leave(stream, now);
+  this->desk.Release(stream, now);
   this->Settle(now);
   return true;
 }
@@ -236,7 +236,7 @@
 void EngineOwner::Settle(Time now) {
   this->SettleHeld(now);
   const slots::SlotLoad own = this->desk.Load();
-  this->foreign.Held(own.online + own.batch);
+  this->foreign.RecordHeld(own.online + own.batch);
   for (const slots::TicketId stream : this->desk.TakeExpired(now)) {
     const auto expired = this->tickets.extract(stream);
     if (!expired.empty()) {
@@ -275,10 +275,10 @@
       Log(LogLevel::kWarn, "engine_report_overdue", {{"engine", this->id}});
     }
     this->client.Cancel(*std::exchange(this->report_call, std::nullopt));
-    this->pulse.FellSilent();
+    this->pulse.TimedOut();
     this->Apply();
   }
-  const bool due = now >= this->next_report || this->pulse.InDoubt();
+  const bool due = now >= this->next_report || this->pulse.Suspected();
   if (this->report_call.has_value() || !due || this->id.empty()) {
     return;
   }
--- a/src/nodes/ownedengine.h
+++ b/src/nodes/ownedengine.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "global/timepoint.h"
-#include "slots/slotdesk.h"
+#include "slots/slotallocator.h"
 
 namespace papayarack::nodes {
 
--- a/src/nodes/tests/batchrunner_tests.cpp
+++ b/src/nodes/tests/batchrunner_tests.cpp
@@ -196,13 +196,13 @@
   void Occupy(std::uint32_t count) {
     for (std::uint32_t i = 0; i < count; ++i) {
       const Time now = MonotonicNow();
-      this->desk.Ask({++this->last_ticket, 0, now + kAmpleTime}, now);
+      this->desk.Acquire({++this->last_ticket, 0, now + kAmpleTime}, now);
     }
     this->runner.Balance();
   }
   void Leave(std::uint32_t count) {
     for (std::uint32_t i = 0; i < count; ++i) {
-      this->desk.Leave(this->last_ticket--, MonotonicNow());
+      this->desk.Release(this->last_ticket--, MonotonicNow());
     }
     this->runner.Balance();
   }
@@ -214,7 +214,7 @@
   coordination::LeaderSearch job_search = SearchAmong(this->leader.Address());
   coordination::GroupClient jobs{this->context, this->peers, this->job_search};
   http::HttpClient client{this->context};
-  slots::SlotDesk desk;
+  slots::SlotAllocator desk;
   Dialect dialect = MakeBatchDialect();
   slots::TicketId last_ticket = 0;
   BatchRunner runner{{"g", 1, "llm", this->engine.Address()},
@@ -482,7 +482,7 @@
     // each pull.
     constexpr auto kLate = 3 * BatchRunner::kAnswerTime;
     const bool arrived = bench.RunUntil([&] {
-      const std::uint32_t room = bench.desk.BatchRoom();
+      const std::uint32_t room = bench.desk.FreeBatchSlots();
       if (room > 1 && pulls().back().asked.room == room) {
         bench.Occupy(1);
       }
--- a/src/nodes/tests/resultfleet.h
+++ b/src/nodes/tests/resultfleet.h
@@ -97,7 +97,7 @@
   coordination::LeaderSearch search;
   coordination::GroupClient jobs;
   http::HttpClient client;
-  slots::SlotDesk desk;
+  slots::SlotAllocator desk;
   BatchRunner runner;
 };
 
--- a/src/slots/internal/slotdesk.cpp
+++ b/src/slots/internal/slotallocator.cpp
@@ -1,4 +1,4 @@
-#include "slots/slotdesk.h"
+#include "slots/slotallocator.h"
 
 #include <algorithm>
 #include <tuple>
@@ -6,16 +6,16 @@
 namespace papayarack::slots {
 namespace {
 
-/// Weight of one observation in the mean hold time: about the last 20 requests,
-/// or two waves at one engine.
+/// Weight of one sample in the moving average of the hold time, which covers
+/// about the last 20 requests, or two waves at one engine.
 constexpr double kHoldWeight = 0.05;
-/// Requests that end sooner were cancelled or refused and say nothing about
-/// how long a slot is held.
+/// Requests that end sooner were cancelled or refused, so they are no sample of
+/// the hold time.
 constexpr std::chrono::milliseconds kShortestHold{100};
 
 }  // namespace
 
-Duration SlotDesk::ExpectedWait() const {
+Duration SlotAllocator::ExpectedWait() const {
   if (this->running.size() < this->Usable()) {
     return Duration(0);
   }
@@ -23,7 +23,7 @@
   return this->hold_estimate * ahead / std::max<std::int64_t>(1, this->slots);
 }
 
-SlotAnswer SlotDesk::Ask(const SlotRequest& request, Time now) {
+SlotAnswer SlotAllocator::Acquire(const SlotRequest& request, Time now) {
   if (!this->open || this->slots == 0) {
     return SlotAnswer::kRefused;
   }
@@ -38,7 +38,7 @@
   return SlotAnswer::kQueued;
 }
 
-void SlotDesk::Leave(TicketId ticket, Time now) {
+void SlotAllocator::Release(TicketId ticket, Time now) {
   this->queue.erase(ticket);
   const auto found = this->running.find(ticket);
   if (found == this->running.end()) {
@@ -54,13 +54,14 @@
   }
 }
 
-std::map<TicketId, SlotDesk::Waiting>::iterator SlotDesk::MostUrgent() {
+std::map<TicketId, SlotAllocator::Waiting>::iterator
+SlotAllocator::MostUrgent() {
   return std::ranges::min_element(this->queue, {}, [](const auto& entry) {
     return std::tuple(entry.second.request.priority, entry.second.order);
   });
 }
 
-std::vector<TicketId> SlotDesk::TakeGranted(Time now) {
+std::vector<TicketId> SlotAllocator::TakeGranted(Time now) {
   std::vector<TicketId> granted;
   while (!this->queue.empty() && this->running.size() < this->Usable()) {
     const auto next = this->MostUrgent();
@@ -71,7 +72,7 @@
   return granted;
 }
 
-std::vector<TicketId> SlotDesk::TakeExpired(Time now) {
+std::vector<TicketId> SlotAllocator::TakeExpired(Time now) {
   std::vector<TicketId> expired;
   for (const auto& [ticket, waiting] : this->queue) {
     if (now > waiting.request.latest_start || !this->open) {
@@ -84,7 +85,7 @@
   return expired;
 }
 
-std::uint32_t SlotDesk::BatchRoom() const {
+std::uint32_t SlotAllocator::FreeBatchSlots() const {
   const std::size_t used = this->running.size() + this->batch;
   if (!this->open || !this->queue.empty() || used >= this->Usable()) {
     return 0;
@@ -92,7 +93,7 @@
   return static_cast<std::uint32_t>(this->Usable() - used);
 }
 
-std::uint32_t SlotDesk::BatchToPreempt() const {
+std::uint32_t SlotAllocator::BatchToPreempt() const {
   const std::size_t used = this->running.size() + this->batch;
   if (used <= this->slots) {
     return 0;
@@ -100,7 +101,7 @@
   return std::min(this->batch, static_cast<std::uint32_t>(used - this->slots));
 }
 
-SlotLoad SlotDesk::Load() const {
+SlotLoad SlotAllocator::Load() const {
   return {this->slots, static_cast<std::uint32_t>(this->running.size()),
           static_cast<std::uint32_t>(this->queue.size()), this->batch};
 }
--- a/src/slots/tests/foreignruns_tests.cpp
+++ b/src/slots/tests/foreignruns_tests.cpp
@@ -4,17 +4,17 @@
 
 namespace papayarack::slots {
 
-// Symptom: what two owners of an engine send waits inside it. Sequence: a
-// process that owns the slots of an engine is lost, another takes over while
-// the runs of the first go on. Cause: the second takes the engine for empty.
+// Guards against requests of two owners that queue inside an engine. The owner
+// of its slots is lost and another takes over while runs of the first continue;
+// the second must not consider the engine empty.
 TEST_CASE("runs that an owner did not admit are counted") {
-  SECTION("beside the engine two reports in a row have to show them") {
+  SECTION("on the same VM they count after two consecutive reports") {
     ForeignRuns foreign(ReportAge::kFresh);
     CHECK(foreign.Reported(5, 2) == 0);
     CHECK(foreign.Reported(4, 2) == 2);
     CHECK(foreign.Reported(2, 2) == 0);
   }
-  SECTION("a new owner elsewhere believes the first report") {
+  SECTION("on another VM a new owner counts the first report") {
     ForeignRuns foreign(ReportAge::kLate);
     CHECK_FALSE(foreign.Known());
     CHECK(foreign.Reported(5, 0) == 5);
@@ -22,19 +22,19 @@
     CHECK(foreign.Reported(3, 0) == 3);
     CHECK(foreign.Reported(0, 0) == 0);
   }
-  // Symptom: an owner on another VM leaves slots idle after each wave. Cause:
-  // the report still counts runs of its own that ended meanwhile.
-  SECTION("a late report's own runs of a moment ago are not others'") {
+  // Guards against an owner on another VM that leaves slots idle after each
+  // wave, because reports still count its own runs that have ended since.
+  SECTION("own runs that ended recently are not foreign in a late report") {
     ForeignRuns foreign(ReportAge::kLate);
     foreign.Reported(0, 0);
-    foreign.Held(7);
+    foreign.RecordHeld(7);
     CHECK(foreign.Reported(7, 1) == 0);
     CHECK(foreign.Reported(7, 1) == 0);
-    // Nobody has held seven since: they are others' now.
+    // The owner has not held seven slots since, so the runs are foreign.
     CHECK(foreign.Reported(7, 1) == 0);
     CHECK(foreign.Reported(7, 1) == 6);
   }
-  SECTION("another start of the engine runs none of them") {
+  SECTION("a restarted engine has no foreign runs") {
     ForeignRuns foreign(ReportAge::kLate);
     foreign.Reported(5, 0);
     foreign.Forget();
