--- a/src/entry/internal/onlinecall.cpp
+++ b/src/entry/internal/onlinecall.cpp
@@ -95,8 +95,8 @@
   this->ring = std::make_shared<WireRing>(kRing);
   this->sent = MonotonicNow();
   this->request.revision = this->fleet.Revision();
-  this->request.have_messages = this->received;
-  this->request.take_up = this->reconnects > 0;
+  this->request.received_messages = this->received;
+  this->request.resume_only = this->reconnects > 0;
   this->request.deadline_ms = std::max<std::int64_t>(
       1, std::chrono::duration_cast<std::chrono::milliseconds>(this->TimeLeft())
              .count());
--- a/src/entry/tests/onlinecall_tests.cpp
+++ b/src/entry/tests/onlinecall_tests.cpp
@@ -144,11 +144,11 @@
   OnlineCall call = setup.Call(false);
   std::thread gate([&] {
     auto [gate, request] = setup.Arrived();
-    CHECK_FALSE(request.request.take_up);
+    CHECK_FALSE(request.request.resume_only);
     gate->server.Finish(request.stream);  // Nothing was said: as good as lost.
     for (int i = 0; i < 3; ++i) {
       auto [same, again] = setup.Arrived();
-      CHECK(again.request.take_up);
+      CHECK(again.request.resume_only);
       CHECK(again.request.attempt == 1);
       same->server.Finish(again.stream);
     }
@@ -169,7 +169,7 @@
     gate->Send(request.stream, gate::AnswerBytes{"one "});
     gate->server.Finish(request.stream);
     auto [same, again] = setup.Arrived();
-    CHECK(again.request.have_messages == 2);
+    CHECK(again.request.received_messages == 2);
     same->Send(again.stream, gate::AnswerBytes{"two"});
     same->Send(again.stream, gate::AnswerEnd{});
     same->server.Finish(again.stream);
--- a/src/gate/answerassembler.h
+++ b/src/gate/answerassembler.h
@@ -9,23 +9,22 @@
 
 namespace papayarack::gate {
 
-/// Follows the server-sent events of one engine answer: counts tokens, knows
-/// whether the answer is whole, and puts the pieces together for callers that
-/// did not ask for a stream. Thread safety: none, one owner.
+/// Parses the server-sent events of one engine answer: counts tokens, detects
+/// whether the answer is complete, and assembles the text for callers that did
+/// not request a stream. Thread safety: none, one owner.
 class AnswerAssembler {
  public:
-  /// Adds bytes as they come. Returns the number of token events that they
+  /// Adds received bytes. Returns the number of token events that they
   /// completed. Throws ResultError(kProtocol) for an event that is not JSON.
   std::size_t Add(std::string_view bytes);
-  /// True after the closing event; an answer without it was cut.
+  /// True after the closing event; an answer without it was truncated.
   bool Whole() const { return this->done; }
-  /// The whole answer as one object, in the form of a call without streaming.
+  /// The answer as one object, as a request without streaming returns it.
   nlohmann::json Assemble() const;
-  /// Text received so far; with it a preempted stream is taken up again.
+  /// Text received so far, with which a preempted run is resumed.
   const std::string& Text() const { return this->text; }
   std::size_t Tokens() const { return this->tokens; }
-  /// Starts with text that an earlier run of the same work has already
-  /// received.
+  /// Initializes with the text that an earlier run of the same work received.
   void StartFrom(std::string text, std::size_t tokens);
 
  private:
--- a/src/gate/gatecore.h
+++ b/src/gate/gatecore.h
@@ -9,37 +9,37 @@
 #include <variant>
 #include <vector>
 
-#include "gate/learnedlimit.h"
+#include "gate/adaptivelimit.h"
 #include "global/resultcode.h"
 #include "global/timepoint.h"
 
 namespace papayarack::gate {
 
-/// Names one request or item at one gate.
+/// Identifies a request or item within one gate.
 using WorkId = std::uint64_t;
 
 struct GateOptions {
   LimitOptions limit;
   std::size_t max_queue = 256;
-  /// Learn the limit from tokens; plain services use max_concurrent as it
-  /// stands.
+  /// Adapt the limit to the times between tokens; plain services use the fixed
+  /// max_concurrent.
   bool learns = true;
-  /// How far ahead items are pulled, beyond what runs.
+  /// Items pulled in advance, beyond those that run.
   std::size_t pull_ahead = 8;
-  /// While online work runs, one batch start in so many steps of the upstream.
-  /// The prompt of an item lengthens the step that takes it in, for every
-  /// answer in progress: beyond one step in twenty the 95th percentile of the
-  /// time between tokens shows it.
+  /// Minimum number of upstream steps between batch starts while online work
+  /// runs. The prompt of an item lengthens the step that processes it, for
+  /// every answer in progress: beyond one step in twenty this raises the 95th
+  /// percentile of the time between tokens.
   std::int64_t steps_per_batch_start = 20;
 };
 
-/// An online request as the decisions see it.
+/// The properties of an online request that scheduling depends on.
 struct OnlineWork {
   WorkId id = 0;
   std::string caller;
   Time deadline{};
   std::uint32_t urgency =
-      0;  ///< Smaller first; the place of its kind in the document.
+      0;  ///< Lower is more urgent: its kind's index in the document.
 };
 
 struct BatchWork {
@@ -47,52 +47,51 @@
   Time due{};
 };
 
-/// Send this work to the upstream now.
+/// Send this work to the upstream.
 struct StartWork {
   WorkId id = 0;
 };
-/// Take this batch work off the upstream; it stays with the gate and starts
-/// again later.
+/// Cancel this batch work at the upstream; the gate keeps it and restarts it
+/// later.
 struct PreemptBatch {
   WorkId id = 0;
 };
-/// Tell the caller; certainly not run.
+/// Refuse the request, which has not run.
 struct RefuseOnline {
   WorkId id = 0;
   Result result;
 };
 using GateAction = std::variant<StartWork, PreemptBatch, RefuseOnline>;
 
-/// All decisions of one gate: what runs at its upstream, what waits, what steps
-/// aside. The rules: no batch work starts while online work waits; an online
-/// request that finds no room takes the place of batch work at once; queues are
-/// bounded and refusals are early. No sockets, clock, threads or randomness.
-/// Thread safety: none, the deciding thread.
+/// The scheduling logic of one gate: decides what runs at its upstream, what
+/// waits and what is preempted. The rules: no batch work starts while online
+/// work waits; an online request without a free place replaces batch work at
+/// once; queues are bounded and requests are refused early. Uses no sockets,
+/// clock, threads or randomness. Thread safety: none, event loop thread.
 class GateCore {
  public:
   GateCore(const GateOptions& options, Time now);
 
-  /// Each of these returns what to do now, in order.
+  /// Methods that return actions list them in the order of execution.
   std::vector<GateAction> Online(const OnlineWork& work, Time now);
   std::vector<GateAction> Batch(const BatchWork& work, Time now);
-  /// A token came from the upstream for this work.
+  /// The upstream sent a token of this work.
   std::vector<GateAction> Token(WorkId id, Time now);
-  /// The work ended at the upstream, well or badly.
+  /// The work ended at the upstream, with or without success.
   std::vector<GateAction> Ended(WorkId id, Time now);
-  /// The work must not go on: its caller is gone or its job was cancelled. The
-  /// upstream's end of it, if it ran, is still to be reported by Ended. True
-  /// when it was running.
+  /// Cancels work whose caller disconnected or whose job was cancelled. Returns
+  /// true if it was running; Ended must then still be called when it ends.
   bool Drop(WorkId id);
   std::vector<GateAction> Tick(Time now);
 
   void SetOptions(const GateOptions& options);
-  /// Upstream reachable or not; while not, nothing starts and online requests
-  /// are refused.
+  /// Sets whether the upstream is reachable. While it is not, nothing starts
+  /// and online requests are refused.
   std::vector<GateAction> SetUpstreamUp(bool up, Time now);
-  /// From now on everything new is refused; what waits and runs is finished.
+  /// Refuses all new work from now on; waiting and running work is finished.
   void BeginLeave() { this->leaving = true; }
 
-  /// How many more items are worth pulling now.
+  /// Number of further items to pull now.
   std::size_t BatchWanted(Time now) const;
   std::size_t RunningOnline() const { return this->running_online; }
   std::size_t RunningBatch() const {
@@ -102,7 +101,7 @@
   std::size_t WaitingBatch() const { return this->waiting_batch.size(); }
   std::size_t OnlineLimit() const;
   std::size_t SharedLimit() const;
-  /// Predicted wait of an online request that comes now.
+  /// Predicted wait of a new online request.
   Duration PredictedWait() const;
 
  private:
@@ -112,10 +111,10 @@
     Time last_token{};
     std::uint32_t tokens = 0;
     bool dropped =
-        false;  ///< Preempted or dropped: leaves its place at once, ends later.
+        false;  ///< Preempted or cancelled: no longer counts, ends later.
   };
   using CallerQueue = std::deque<OnlineWork>;
-  /// Waiting online work of one urgency: round robin over callers.
+  /// Waiting online work of one urgency, served round robin by caller.
   struct UrgencyQueue {
     std::map<std::string, CallerQueue> by_caller;
     std::string last_served;
@@ -131,12 +130,12 @@
   void RefuseOverdue(Time now, std::vector<GateAction>& actions);
   void Fill(Time now, std::vector<GateAction>& actions);
   void FillBatch(Time now, std::vector<GateAction>& actions);
-  Duration BatchStartPace() const;
+  Duration BatchStartInterval() const;
   bool RemoveWaiting(WorkId id);
   std::optional<Result> RefusalFor(const OnlineWork& work, Time now) const;
 
   GateOptions options;
-  LearnedLimit limit;
+  AdaptiveLimit limit;
   std::map<WorkId, Running> running;
   std::size_t running_online = 0;
   std::size_t dropped_count = 0;
--- a/src/gate/gateprotocol.h
+++ b/src/gate/gateprotocol.h
@@ -16,50 +16,50 @@
     "/cancel";  ///< CancelRequest; no answer.
 }  // namespace path
 
-/// One caller's request on its way to an upstream.
+/// A caller's request to be run at an upstream.
 struct OnlineRequest {
   std::uint32_t version = kMessageVersion;
   std::string id;
   std::uint32_t attempt = 0;
-  std::string caller;  ///< Team of the caller's token; fairness is by caller.
+  std::string
+      caller;  ///< Team of the caller's token; the unit of fair queueing.
   std::string service;
   std::string work;
-  std::int64_t deadline_ms = 0;  ///< Time left when it was sent.
-  std::uint64_t revision =
-      0;  ///< Document revision that the entry decided under.
+  std::int64_t deadline_ms = 0;  ///< Time left when sent.
+  std::uint64_t revision = 0;    ///< Document revision that the entry used.
   std::string method;
   std::string target;  ///< Path and query at the upstream.
   std::string content_type;
   std::string body;
   std::uint32_t prompt_tokens = 0;  ///< Estimate, for pacing.
   bool stream = false;              ///< The caller wants server-sent events.
-  std::uint32_t have_messages =
-      0;  ///< Taking up a stream: messages that did arrive.
-  /// Only take up what is known under this id and attempt; never run it anew. A
-  /// gate that was restarted meanwhile knows nothing of it, while the upstream
-  /// may have run it.
-  bool take_up = false;
+  std::uint32_t received_messages =
+      0;  ///< When resuming a stream: messages received so far.
+  /// Only resume a request known by this id and attempt, never run it again. A
+  /// gate that has restarted since does not know it, although the upstream may
+  /// have run it.
+  bool resume_only = false;
   MSGPACK_DEFINE(version, id, attempt, caller, service, work, deadline_ms,
                  revision, method, target, content_type, body, prompt_tokens,
-                 stream, have_messages, take_up)
+                 stream, received_messages, resume_only)
 };
 
-/// The caller is gone: stop the work.
+/// Cancels the work of a caller that disconnected.
 struct CancelRequest {
   std::string id;
   std::uint32_t attempt = 0;
   MSGPACK_DEFINE(id, attempt)
 };
 
-/// Refused; certainly not run.
+/// The request was refused and has not run.
 struct Refused {
   int code = 0;
   std::string text;
   std::int64_t retry_after_ms = 0;
-  std::uint64_t revision = 0;  ///< The gate's own.
+  std::uint64_t revision = 0;  ///< The gate's revision.
   MSGPACK_DEFINE(code, text, retry_after_ms, revision)
 };
-/// The upstream has begun to answer.
+/// Status and headers of the upstream's answer.
 struct AnswerHead {
   int status = 0;
   std::string content_type;
@@ -69,15 +69,14 @@
   std::string bytes;
   MSGPACK_DEFINE(bytes)
 };
-/// The end. Only with kOk is the answer whole; without this message it never
-/// is.
+/// End of the answer. It is complete only if this message arrives with kOk.
 struct AnswerEnd {
   int code = 0;
   std::string text;
   MSGPACK_DEFINE(code, text)
 };
 
-/// Alternatives are only added at the end.
+/// New alternatives must be added at the end.
 using GateMessage = std::variant<Refused, AnswerHead, AnswerBytes, AnswerEnd>;
 
 }  // namespace papayarack::gate
--- a/src/gate/gateserver.h
+++ b/src/gate/gateserver.h
@@ -9,9 +9,9 @@
 
 namespace papayarack::gate {
 
-/// The role side: the gate in front of one upstream. Threads: peer I/O,
-/// deciding, one worker for each running upstream call, control (heartbeats and
-/// items), probing of the upstream. Thread safety: any thread.
+/// The role `side`: the gate in front of one upstream. Threads: peer I/O, event
+/// loop, one worker for each running upstream call, control (heartbeats and
+/// items), health checks of the upstream. Thread safety: any thread.
 class GateServer {
  public:
   /// Precondition: settings.upstreams[upstream] exists. Throws
@@ -21,9 +21,9 @@
   GateServer(const GateServer&) = delete;
   GateServer& operator=(const GateServer&) = delete;
 
-  /// Takes nothing new, gives batch items back, finishes online answers.
+  /// Refuses new work, returns batch items and finishes online answers.
   void BeginLeave();
-  /// True once nothing is left to finish after BeginLeave.
+  /// True once all work has finished after BeginLeave.
   bool Drained() const;
   nlohmann::json Dump() const;
   bool Healthy() const;
--- a/src/gate/internal/batchdesk.cpp
+++ b/src/gate/internal/batchitemtracker.cpp
@@ -1,4 +1,4 @@
-#include "gate/internal/batchdesk.h"
+#include "gate/internal/batchitemtracker.h"
 
 #include <fmt/format.h>
 
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr int kHttpOk = 200;
-constexpr std::size_t kReasonBytes = 500;
+constexpr std::size_t kMaxReasonBytes = 500;
 
-/// The upstream says that this request can never be answered.
-bool NeverPossible(int status) {
+/// Whether the status means that the request can never succeed.
+bool IsPermanentFailure(int status) {
   return status == 400 || status == 404 || status == 413 || status == 415 ||
          status == 422;
 }
@@ -23,19 +23,20 @@
       document["error"].is_object()) {
     return document["error"].value("message", fmt::format("status {}", status));
   }
-  return fmt::format("status {}: {}", status, body.substr(0, kReasonBytes));
+  return fmt::format("status {}: {}", status, body.substr(0, kMaxReasonBytes));
 }
 
 }  // namespace
 
-BatchDesk::BatchDesk(std::string holder, std::uint64_t incarnation,
-                     std::string service, std::int64_t lease_ms)
+BatchItemTracker::BatchItemTracker(std::string holder,
+                                   std::uint64_t incarnation,
+                                   std::string service, std::int64_t lease_ms)
     : holder(std::move(holder)),
       incarnation(incarnation),
       service(std::move(service)),
       lease_ms(lease_ms) {}
 
-bool BatchDesk::Add(WorkId id, const jobs::LeasedItem& lease) {
+bool BatchItemTracker::Add(WorkId id, const jobs::LeasedItem& lease) {
   Item item;
   item.lease = lease;
   try {
@@ -51,7 +52,8 @@
   return true;
 }
 
-UpstreamCall BatchDesk::MakeCall(WorkId id, Duration silence) const {
+UpstreamCall BatchItemTracker::MakeCall(WorkId id,
+                                        Duration read_timeout) const {
   const Item& item = this->items.at(id);
   UpstreamCall call;
   call.id = id;
@@ -65,18 +67,18 @@
                       {"tokens", item.answer.Tokens()}};
   }
   call.body = body.dump();
-  call.silence = silence;
+  call.read_timeout = read_timeout;
   return call;
 }
 
-void BatchDesk::OnHead(WorkId id, int status) {
+void BatchItemTracker::OnHead(WorkId id, int status) {
   const auto found = this->items.find(id);
   if (found != this->items.end()) {
     found->second.status = status;
   }
 }
 
-std::size_t BatchDesk::OnBytes(WorkId id, std::string_view bytes) {
+std::size_t BatchItemTracker::OnBytes(WorkId id, std::string_view bytes) {
   const auto found = this->items.find(id);
   if (found == this->items.end()) {
     return 0;
@@ -89,21 +91,21 @@
   return item.answer.Add(bytes);
 }
 
-void BatchDesk::Report(const Item& item, jobs::AttemptEnd end, std::string line,
-                       std::string reason) {
+void BatchItemTracker::Report(const Item& item, jobs::AttemptEnd end,
+                              std::string line, std::string reason) {
   this->outcomes.push_back({item.lease.key, item.lease.attempt,
                             static_cast<std::uint8_t>(end), std::move(line),
                             std::move(reason)});
 }
 
-void BatchDesk::ReportAnswer(const Item& item) {
+void BatchItemTracker::ReportAnswer(const Item& item) {
   const jobs::ItemKey& key = item.lease.key;
   if (item.status == kHttpOk && item.answer.Whole()) {
     this->Report(item, jobs::AttemptEnd::kDone,
                  jobs::OutputLine(key.job, key.item, item.line.custom_id,
                                   item.status, item.answer.Assemble()),
                  {});
-  } else if (NeverPossible(item.status)) {
+  } else if (IsPermanentFailure(item.status)) {
     this->Report(item, jobs::AttemptEnd::kImpossible,
                  jobs::ErrorLine(key.job, key.item, item.line.custom_id,
                                  ResultCode::kItemImpossible,
@@ -118,7 +120,8 @@
   }
 }
 
-bool BatchDesk::OnEnd(WorkId id, UpstreamEnd end, std::string_view reason) {
+bool BatchItemTracker::OnEnd(WorkId id, UpstreamEnd end,
+                             std::string_view reason) {
   const auto found = this->items.find(id);
   if (found == this->items.end()) {
     return false;
@@ -131,9 +134,9 @@
     item.preempted = false;
     item.status = 0;
     item.raw.clear();
-    AnswerAssembler again;
-    again.StartFrom(item.answer.Text(), item.answer.Tokens());
-    item.answer = std::move(again);
+    AnswerAssembler resumed;
+    resumed.StartFrom(item.answer.Text(), item.answer.Tokens());
+    item.answer = std::move(resumed);
     this->kept_tokens += item.answer.Tokens();
     return true;
   } else if (end == UpstreamEnd::kNotSent || end == UpstreamEnd::kUnstarted) {
@@ -146,11 +149,11 @@
   return false;
 }
 
-void BatchDesk::MarkPreempted(WorkId id) {
+void BatchItemTracker::MarkPreempted(WorkId id) {
   this->items.at(id).preempted = true;
 }
 
-void BatchDesk::GiveBack(WorkId id) {
+void BatchItemTracker::Return(WorkId id) {
   const auto found = this->items.find(id);
   if (found != this->items.end()) {
     this->Report(found->second, jobs::AttemptEnd::kReturned, {},
@@ -159,9 +162,9 @@
   }
 }
 
-void BatchDesk::Forget(WorkId id) { this->items.erase(id); }
+void BatchItemTracker::Remove(WorkId id) { this->items.erase(id); }
 
-std::vector<WorkId> BatchDesk::All() const {
+std::vector<WorkId> BatchItemTracker::All() const {
   std::vector<WorkId> ids;
   for (const auto& [id, item] : this->items) {
     ids.push_back(id);
@@ -169,7 +172,7 @@
   return ids;
 }
 
-std::optional<WorkId> BatchDesk::Find(const jobs::ItemKey& key) const {
+std::optional<WorkId> BatchItemTracker::Find(const jobs::ItemKey& key) const {
   const auto found = std::ranges::find_if(
       this->items,
       [&key](const auto& entry) { return entry.second.lease.key == key; });
@@ -177,7 +180,7 @@
                                     : std::nullopt;
 }
 
-statemachine::PullItems BatchDesk::MakePull(std::uint32_t count) const {
+statemachine::PullItems BatchItemTracker::MakePull(std::uint32_t count) const {
   statemachine::PullItems pull;
   pull.outcomes = this->outcomes;
   pull.lease.holder = this->holder;
@@ -191,7 +194,7 @@
   return pull;
 }
 
-void BatchDesk::Reported(std::size_t count) {
+void BatchItemTracker::Reported(std::size_t count) {
   this->outcomes.erase(
       this->outcomes.begin(),
       this->outcomes.begin() + static_cast<std::ptrdiff_t>(count));
--- a/src/gate/internal/gatecore.cpp
+++ b/src/gate/internal/gatecore.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kServiceSmoothing = 0.1;
-constexpr std::int64_t kDisturbedForFullPace = 4;
+constexpr std::int64_t kOnlineForFullInterval = 4;
 
 }  // namespace
 
@@ -56,8 +56,8 @@
   }
   const bool queue_full = this->waiting_count >= this->options.max_queue;
   const bool must_wait = this->running_online >= this->OnlineLimit();
-  // A wait that ends past the deadline is a refusal now, when the caller can
-  // still go elsewhere.
+  // A request whose wait would exceed the deadline is refused now, while the
+  // caller can still try elsewhere.
   const bool too_late =
       must_wait && now + this->PredictedWait() >= work.deadline;
   if ((must_wait && queue_full) || too_late) {
@@ -99,7 +99,7 @@
   actions.emplace_back(StartWork{id});
 }
 
-/// Of the batch work at the upstream, the one with the fewest tokens loses
+/// Preempts the running batch work with the fewest tokens, which loses the
 /// least.
 bool GateCore::PreemptOne(std::vector<GateAction>& actions) {
   auto victim = this->running.end();
@@ -124,13 +124,13 @@
     if (queue.by_caller.empty()) {
       continue;
     }
-    auto turn = queue.by_caller.upper_bound(queue.last_served);
-    turn = turn == queue.by_caller.end() ? queue.by_caller.begin() : turn;
-    OnlineWork work = std::move(turn->second.front());
-    turn->second.pop_front();
-    queue.last_served = turn->first;
-    if (turn->second.empty()) {
-      queue.by_caller.erase(turn);
+    auto next = queue.by_caller.upper_bound(queue.last_served);
+    next = next == queue.by_caller.end() ? queue.by_caller.begin() : next;
+    OnlineWork work = std::move(next->second.front());
+    next->second.pop_front();
+    queue.last_served = next->first;
+    if (next->second.empty()) {
+      queue.by_caller.erase(next);
     }
     --this->waiting_count;
     return work;
@@ -167,9 +167,9 @@
   }
   while (this->waiting_count > 0 &&
          this->running_online < this->OnlineLimit()) {
-    // Symptom guarded against: a teller waits behind batch work. Online work
-    // that fits by its own limit starts now; batch work above the shared limit
-    // leaves for it, and is not waited for.
+    // Online work never waits behind batch work: within the online limit it
+    // starts now. Batch work above the shared limit is preempted, without
+    // waiting for its end.
     while (this->Occupied() >= this->SharedLimit() &&
            this->PreemptOne(actions)) {
     }
@@ -185,13 +185,14 @@
   }
   while (!this->waiting_batch.empty() &&
          this->Occupied() < this->SharedLimit()) {
-    const bool paced = this->running_online > 0;
-    if (paced && now - this->last_batch_start < this->BatchStartPace()) {
+    const bool throttled = this->running_online > 0;
+    if (throttled &&
+        now - this->last_batch_start < this->BatchStartInterval()) {
       return;
     }
     const auto first = this->waiting_batch.begin();
     if (this->running.count(first->second) > 0) {
-      return;  // It was preempted and the upstream has not yet let go of it.
+      return;  // It was preempted and has not yet ended at the upstream.
     }
     this->last_batch_start = now;
     const WorkId id = first->second;
@@ -200,13 +201,14 @@
   }
 }
 
-/// One online answer among many batch streams is a small part of all online
-/// answers of the service: beside it items start more often than beside many.
-Duration GateCore::BatchStartPace() const {
-  const std::int64_t disturbed = std::min(
-      static_cast<std::int64_t>(this->running_online), kDisturbedForFullPace);
-  return this->limit.Baseline() * this->options.steps_per_batch_start *
-         disturbed / kDisturbedForFullPace;
+/// Minimum time between batch starts. A single online answer at this upstream
+/// is a small part of all online answers of the service, so that with few of
+/// them items may start more often.
+Duration GateCore::BatchStartInterval() const {
+  const std::int64_t online = std::min(
+      static_cast<std::int64_t>(this->running_online), kOnlineForFullInterval);
+  return this->limit.Baseline() * this->options.steps_per_batch_start * online /
+         kOnlineForFullInterval;
 }
 
 std::vector<GateAction> GateCore::Token(WorkId id, Time now) {
@@ -251,9 +253,9 @@
   }
   for (auto& [urgency, queue] : this->waiting) {
     for (auto& [caller, line] : queue.by_caller) {
-      const auto place = std::ranges::find(line, id, &OnlineWork::id);
-      if (place != line.end()) {
-        line.erase(place);
+      const auto position = std::ranges::find(line, id, &OnlineWork::id);
+      if (position != line.end()) {
+        line.erase(position);
         --this->waiting_count;
         if (line.empty()) {
           queue.by_caller.erase(caller);
@@ -289,8 +291,8 @@
   std::vector<GateAction> actions;
   this->upstream_up = up;
   if (!up) {
-    // What waits has not run: saying so now lets the entry try elsewhere while
-    // there is time.
+    // Waiting work has not run: refusing it now lets the entry try elsewhere
+    // before the deadline.
     while (const std::optional<OnlineWork> work = this->TakeNextOnline()) {
       actions.emplace_back(RefuseOnline{
           work->id, {ResultCode::kNoUpstream, "the upstream went away", {}}});
@@ -304,16 +306,16 @@
   if (this->leaving || !this->upstream_up || this->waiting_count > 0) {
     return 0;
   }
-  // Beside online work items start so rarely that a few at hand are enough;
-  // more would wait here while other gates could run them.
-  const bool paced = this->running_online > 0;
-  if (paced && this->waiting_batch.size() >= this->options.pull_ahead) {
+  // Items start so rarely while online work runs that a few are enough; more
+  // would wait here although other gates could run them.
+  const bool throttled = this->running_online > 0;
+  if (throttled && this->waiting_batch.size() >= this->options.pull_ahead) {
     return 0;
   }
   const std::size_t wanted = this->SharedLimit() + this->options.pull_ahead;
   const std::size_t have = this->Occupied() + this->waiting_batch.size();
   const std::size_t more = wanted > have ? wanted - have : 0;
-  return paced ? std::min(more, this->options.pull_ahead) : more;
+  return throttled ? std::min(more, this->options.pull_ahead) : more;
 }
 
 }  // namespace papayarack::gate
--- a/src/gate/internal/gateserver.cpp
+++ b/src/gate/internal/gateserver.cpp
@@ -11,7 +11,7 @@
 #include "documents/servicedocument.h"
 #include "gate/gatecore.h"
 #include "gate/gateprotocol.h"
-#include "gate/internal/batchdesk.h"
+#include "gate/internal/batchitemtracker.h"
 #include "gate/internal/replaybuffer.h"
 #include "gate/upstreamclient.h"
 #include "global/boundedring.h"
@@ -24,15 +24,15 @@
 namespace papayarack::gate {
 namespace {
 
-constexpr std::size_t kEventRing = 65536;
+constexpr std::size_t kMaxQueuedEvents = 65536;
 constexpr std::size_t kWorkers = 96;
-constexpr std::chrono::milliseconds kTick{5};
-constexpr std::chrono::milliseconds kProbeEvery{250};
+constexpr std::chrono::milliseconds kTickInterval{5};
+constexpr std::chrono::milliseconds kProbeInterval{250};
 constexpr std::chrono::milliseconds kControlTimeout{4000};
-constexpr std::chrono::milliseconds kEmptyPullPause{150};
-constexpr Duration kSilence = std::chrono::seconds(8);
-/// How long an answer waits for an entry whose connection was lost.
-constexpr Duration kReattach = std::chrono::seconds(4);
+constexpr std::chrono::milliseconds kEmptyPullDelay{150};
+constexpr Duration kReadTimeout = std::chrono::seconds(8);
+/// How long an answer is kept for an entry that lost its connection.
+constexpr Duration kReattachTimeout = std::chrono::seconds(4);
 constexpr int kHttpOk = 200;
 
 struct PeerRequest {
@@ -40,7 +40,7 @@
   std::string path;
   std::string body;
 };
-struct PeerGone {
+struct PeerDisconnected {
   transport::StreamId stream = 0;
 };
 struct UpstreamHead {
@@ -69,14 +69,15 @@
 struct ProbeResult {
   bool up = false;
 };
-struct DumpWanted {
+struct DumpRequested {
   std::shared_ptr<std::promise<nlohmann::json>> answer;
 };
-struct LeaveWanted {};
+struct LeaveRequested {};
 
-using Event = std::variant<PeerRequest, PeerGone, UpstreamHead, UpstreamBytes,
-                           UpstreamEnded, PullFinished, DocumentsArrived,
-                           ProbeResult, DumpWanted, LeaveWanted>;
+using Event =
+    std::variant<PeerRequest, PeerDisconnected, UpstreamHead, UpstreamBytes,
+                 UpstreamEnded, PullFinished, DocumentsArrived, ProbeResult,
+                 DumpRequested, LeaveRequested>;
 
 /// An online request at this gate.
 struct OnlineState {
@@ -87,10 +88,9 @@
   int status = 0;
   bool engine = false;
   Time deadline{};
-  Time came{};
-  Time lost_at{};  ///< When its stream went away; zero while attached.
-  Time
-      over_at{};  ///< When it was finished; kept a while for a late attachment.
+  Time arrived{};
+  Time detached_at{};  ///< When its stream was lost; zero while attached.
+  Time finished_at{};  ///< When it ended; kept for a late reattachment.
   bool first_token_seen = false;
 };
 
@@ -105,12 +105,12 @@
                  ? settings.name + "-side-" + std::to_string(upstream_index)
                  : settings.name),
         incarnation(static_cast<std::uint64_t>(WallNow())),
-        events(kEventRing),
+        events(kMaxQueuedEvents),
         pulls(2),
         control(client, settings.control),
         core(MakeOptions(nullptr), MonotonicNow()),
-        desk(name, incarnation, upstream_settings.service,
-             settings.lease.count()) {
+        batch_items(name, incarnation, upstream_settings.service,
+                    settings.lease.count()) {
     UpstreamHandlers handlers;
     handlers.on_head = [this](WorkId id, int status, std::string content_type) {
       this->events.Push(UpstreamHead{id, status, std::move(content_type)});
@@ -135,26 +135,26 @@
       }
     };
     peer.on_cancel = [this](transport::StreamId stream) {
-      this->events.TryPush(PeerGone{stream});
+      this->events.TryPush(PeerDisconnected{stream});
     };
     this->server = std::make_unique<transport::PeerServer>(
         ParseEndpoint(this->upstream_settings.gate_listen,
                       "/upstreams/gate_listen"),
         std::move(peer));
-    this->decider = std::thread([this] { this->Decide(); });
-    this->beater = std::thread([this] { this->BeatLoop(); });
-    this->puller = std::thread([this] { this->PullLoop(); });
-    this->prober = std::thread([this] { this->ProbeLoop(); });
+    this->event_thread = std::thread([this] { this->EventLoop(); });
+    this->heartbeat_thread = std::thread([this] { this->HeartbeatLoop(); });
+    this->pull_thread = std::thread([this] { this->PullLoop(); });
+    this->probe_thread = std::thread([this] { this->ProbeLoop(); });
   }
 
   ~Impl() {
     this->stopping = true;
     this->pulls.Close();
-    this->beater.join();
-    this->puller.join();
-    this->prober.join();
+    this->heartbeat_thread.join();
+    this->pull_thread.join();
+    this->probe_thread.join();
     this->events.Close();
-    this->decider.join();
+    this->event_thread.join();
     this->upstream.reset();
     this->server.reset();
   }
@@ -176,28 +176,28 @@
     return options;
   }
 
-  // --- deciding thread
+  // --- Event loop thread
 
-  void Decide() {
+  void EventLoop() {
     while (!this->events.Closed()) {
-      for (Event& event : this->events.PopAll(kTick)) {
+      for (Event& event : this->events.PopAll(kTickInterval)) {
         std::visit([this](auto& body) { this->On(body); }, event);
       }
       const Time now = MonotonicNow();
-      this->Follow(this->core.Tick(now));
+      this->Execute(this->core.Tick(now));
       this->SweepOnline(now);
       this->MaybePull(now);
-      this->Publish();
+      this->PublishState();
     }
   }
 
-  void Follow(const std::vector<GateAction>& actions) {
+  void Execute(const std::vector<GateAction>& actions) {
     for (const GateAction& action : actions) {
       std::visit(
           Overloaded{[this](const StartWork& start) { this->Start(start.id); },
                      [this](const PreemptBatch& preempt) {
                        this->metrics.Add("batch_preemptions_total");
-                       this->desk.MarkPreempted(preempt.id);
+                       this->batch_items.MarkPreempted(preempt.id);
                        this->upstream->Cancel(preempt.id);
                      },
                      [this](const RefuseOnline& refuse) {
@@ -212,8 +212,8 @@
     const auto online = this->online.find(id);
     if (online != this->online.end()) {
       call = this->MakeOnlineCall(id, online->second);
-    } else if (this->desk.Holds(id)) {
-      call = this->desk.MakeCall(id, kSilence);
+    } else if (this->batch_items.Contains(id)) {
+      call = this->batch_items.MakeCall(id, kReadTimeout);
     }
     if (call.id == 0 || !this->upstream->Start(std::move(call))) {
       this->events.TryPush(
@@ -230,10 +230,10 @@
     call.target = state.request.target;
     call.content_type = state.request.content_type;
     call.body = state.request.body;
-    call.silence = kSilence;
+    call.read_timeout = kReadTimeout;
     if (state.engine) {
-      // The engine always streams: only so does the gate see tokens and know a
-      // whole answer.
+      // Always requests a stream from the engine, as the gate needs it to count
+      // tokens and to detect a complete answer.
       nlohmann::json body = nlohmann::json::parse(call.body, nullptr, false);
       if (body.is_object()) {
         body["stream"] = true;
@@ -289,16 +289,16 @@
     auto request = DecodeMessage<OnlineRequest>(peer.body);
     const auto known = this->by_request.find({request.id, request.attempt});
     if (known != this->by_request.end()) {
-      // The entry lost its connection to us: the same attempt goes on, it does
-      // not run again.
+      // The entry lost its connection to this gate: resumes the same attempt
+      // instead of running it again.
       OnlineState& state = this->online.at(known->second);
       this->by_stream.erase(state.out.Stream());
-      state.out.Attach(peer.stream, request.have_messages);
-      state.lost_at = {};
+      state.out.Attach(peer.stream, request.received_messages);
+      state.detached_at = {};
       this->by_stream[peer.stream] = known->second;
       return;
     }
-    if (request.take_up) {
+    if (request.resume_only) {
       throw ResultError(ResultCode::kUnknownOutcome,
                         "this gate does not know the request");
     }
@@ -323,7 +323,7 @@
                           this->UrgencyOf(state.request.work)};
     this->online.emplace(id, std::move(state));
     this->metrics.Add("online_requests_total");
-    this->Follow(this->core.Online(work, now));
+    this->Execute(this->core.Online(work, now));
   }
 
   void RequireAcceptable(const OnlineRequest& request) const {
@@ -339,7 +339,7 @@
       throw ResultError(ResultCode::kNoUpstream,
                         "this gate serves another service");
     }
-    // A request decided under an older document must not run under the newer
+    // A request that was routed by an older document must not run under a newer
     // one.
     if (request.revision < this->service_revision) {
       throw ResultError(ResultCode::kStaleRevision,
@@ -373,37 +373,37 @@
     }
   }
 
-  void On(const PeerGone& gone) {
-    const auto found = this->by_stream.find(gone.stream);
+  void On(const PeerDisconnected& disconnected) {
+    const auto found = this->by_stream.find(disconnected.stream);
     if (found == this->by_stream.end()) {
       return;
     }
     OnlineState& state = this->online.at(found->second);
     state.out.Detach();
-    state.lost_at = MonotonicNow();
+    state.detached_at = MonotonicNow();
     this->by_stream.erase(found);
   }
 
-  /// Ends what nobody waits for any more and what has passed its deadline.
+  /// Drops answers that no entry resumed in time, and ends requests past their
+  /// deadline.
   void SweepOnline(Time now) {
-    std::vector<WorkId> gone;
+    std::vector<WorkId> expired;
     for (auto& [id, state] : this->online) {
-      const bool unclaimed =
-          state.lost_at != Time{} && now - state.lost_at > kReattach;
-      const bool over =
-          state.over_at != Time{} && now - state.over_at > kReattach;
-      const bool late = state.over_at == Time{} && now >= state.deadline;
-      if (unclaimed || over) {
-        gone.push_back(id);
+      const bool abandoned = state.detached_at != Time{} &&
+                             now - state.detached_at > kReattachTimeout;
+      const bool over = state.finished_at != Time{} &&
+                        now - state.finished_at > kReattachTimeout;
+      const bool late = state.finished_at == Time{} && now >= state.deadline;
+      if (abandoned || over) {
+        expired.push_back(id);
       } else if (late) {
-        // What waited past its deadline was refused by the core's tick; this
-        // one is running.
+        // This request is running: waiting ones were refused by GateCore::Tick.
         this->EndOnline(state, ResultCode::kDeadlineWhileRunning,
                         "the deadline passed");
         this->StopRunning(id);
       }
     }
-    for (const WorkId id : gone) {
+    for (const WorkId id : expired) {
       this->DropOnline(id);
     }
   }
@@ -421,11 +421,11 @@
     state.out.Send(
         EncodeVariant(GateMessage(AnswerEnd{static_cast<int>(code), text})));
     state.out.Finish();
-    state.over_at = MonotonicNow();
+    state.finished_at = MonotonicNow();
   }
 
   void On(const UpstreamHead& head) {
-    this->desk.OnHead(head.id, head.status);
+    this->batch_items.OnHead(head.id, head.status);
     const auto found = this->online.find(head.id);
     if (found == this->online.end()) {
       return;
@@ -449,14 +449,14 @@
       if (found != this->online.end()) {
         tokens = this->OnOnlineBytes(found->second, bytes.bytes, now);
       } else {
-        tokens = this->desk.OnBytes(bytes.id, bytes.bytes);
+        tokens = this->batch_items.OnBytes(bytes.id, bytes.bytes);
         this->metrics.Add("batch_tokens_total", tokens);
       }
     } catch (const ResultError& error) {
       this->upstream->Cancel(bytes.id);
     }
     for (std::size_t i = 0; i < tokens; ++i) {
-      this->Follow(this->core.Token(bytes.id, now));
+      this->Execute(this->core.Token(bytes.id, now));
     }
   }
 
@@ -472,30 +472,30 @@
     }
     if (tokens > 0 && !std::exchange(state.first_token_seen, true)) {
       this->metrics.Observe("online_first_token_seconds",
-                            ToSeconds(now - state.came));
+                            ToSeconds(now - state.arrived));
     }
     this->metrics.Add("online_tokens_total", tokens);
     return tokens;
   }
 
   void On(const UpstreamEnded& ended) {
-    // Symptom guarded against: items are pulled, returned and pulled again
-    // hundreds of times a second. Their upstream is gone and the next probe
-    // has yet to say so; a refused connection says it at once.
+    // A refused connection marks the upstream as down at once. Otherwise items
+    // are pulled and returned hundreds of times a second until the next probe
+    // fails.
     if (ended.end == UpstreamEnd::kNotSent) {
       this->On(ProbeResult{false});
     }
     const auto found = this->online.find(ended.id);
     if (found != this->online.end()) {
       this->FinishOnline(found, ended);
-    } else if (this->desk.Holds(ended.id) &&
-               this->desk.OnEnd(ended.id, ended.end, ended.reason)) {
-      this->Follow(this->core.Ended(ended.id, MonotonicNow()));
-      this->Follow(
+    } else if (this->batch_items.Contains(ended.id) &&
+               this->batch_items.OnEnd(ended.id, ended.end, ended.reason)) {
+      this->Execute(this->core.Ended(ended.id, MonotonicNow()));
+      this->Execute(
           this->core.Batch({ended.id, MonotonicNow()}, MonotonicNow()));
       return;
     }
-    this->Follow(this->core.Ended(ended.id, MonotonicNow()));
+    this->Execute(this->core.Ended(ended.id, MonotonicNow()));
   }
 
   void FinishOnline(std::map<WorkId, OnlineState>::iterator found,
@@ -504,8 +504,8 @@
     const bool not_run = ended.end == UpstreamEnd::kNotSent ||
                          ended.end == UpstreamEnd::kUnstarted;
     if (not_run && state.status == 0) {
-      this->RefuseOnlineWork(
-          found->first, {ResultCode::kNoUpstream, ended.reason, kProbeEvery});
+      this->RefuseOnlineWork(found->first, {ResultCode::kNoUpstream,
+                                            ended.reason, kProbeInterval});
       return;
     }
     const bool events = state.engine && state.status == kHttpOk;
@@ -528,7 +528,7 @@
     this->EndOnline(state, ResultCode::kOk, {});
   }
 
-  // --- batch
+  // --- Batch
 
   void MaybePull(Time now) {
     if (this->pull_in_flight) {
@@ -539,45 +539,46 @@
                                    ? this->core.BatchWanted(now)
                                    : 0;
     const Duration since = now - this->last_pull;
-    const bool report =
-        this->desk.Unreported() > 0 && since > std::chrono::milliseconds(10);
-    const bool worth_asking = !this->last_pull_empty || this->batch_work_known;
-    const bool ask = wanted > 0 && worth_asking &&
-                     (!this->last_pull_empty || since > kEmptyPullPause);
+    const bool report = this->batch_items.Unreported() > 0 &&
+                        since > std::chrono::milliseconds(10);
+    const bool work_expected = !this->last_pull_empty || this->batch_work_known;
+    const bool request_items =
+        wanted > 0 && work_expected &&
+        (!this->last_pull_empty || since > kEmptyPullDelay);
     const bool renew =
-        this->desk.Held() > 0 && since > this->settings.lease / 4;
-    if (!report && !ask && !renew) {
+        this->batch_items.Count() > 0 && since > this->settings.lease / 4;
+    if (!report && !request_items && !renew) {
       return;
     }
-    this->pull_in_flight = this->pulls.TryPush(this->desk.MakePull(
-        static_cast<std::uint32_t>(ask || report ? wanted : 0)));
+    this->pull_in_flight = this->pulls.TryPush(this->batch_items.MakePull(
+        static_cast<std::uint32_t>(request_items || report ? wanted : 0)));
     this->last_pull = now;
   }
 
   void On(PullFinished& finished) {
     this->pull_in_flight = false;
     if (!finished.reply.has_value()) {
-      return;  // The outcomes stay and are reported again.
+      return;  // The outcomes are kept and reported again.
     }
-    this->desk.Reported(finished.reported);
+    this->batch_items.Reported(finished.reported);
     this->metrics.Add("batch_outcomes_total", finished.reported);
     const Time now = MonotonicNow();
     for (const jobs::ItemKey& key : finished.reply->stop) {
-      if (const auto id = this->desk.Find(key)) {
-        this->desk.Forget(*id);
+      if (const auto id = this->batch_items.Find(key)) {
+        this->batch_items.Remove(*id);
         this->StopRunning(*id);
       }
     }
     this->last_pull_empty = finished.reply->items.empty();
     for (const jobs::LeasedItem& item : finished.reply->items) {
       const WorkId id = ++this->last_id;
-      if (!this->desk.Add(id, item)) {
+      if (!this->batch_items.Add(id, item)) {
         continue;
       }
       if (this->leaving) {
-        this->desk.GiveBack(id);
+        this->batch_items.Return(id);
       } else {
-        this->Follow(this->core.Batch({id, now}, now));
+        this->Execute(this->core.Batch({id, now}, now));
       }
     }
   }
@@ -586,7 +587,7 @@
     this->revision = std::max(this->revision, arrived.revision);
     for (const documents::AcceptedDocument& accepted : arrived.changes) {
       const bool ours = accepted.service == this->upstream_settings.service;
-      // Answers can overtake each other; an older document never replaces a
+      // Replies may arrive out of order; an older document must not replace a
       // newer one.
       if (!ours || accepted.revision <= this->service_revision) {
         continue;
@@ -613,32 +614,33 @@
       this->upstream_up = probe.up;
       Log(LogLevel::kWarn, probe.up ? "upstream_up" : "upstream_down",
           {{"address", this->upstream_settings.address}});
-      this->Follow(this->core.SetUpstreamUp(probe.up, MonotonicNow()));
+      this->Execute(this->core.SetUpstreamUp(probe.up, MonotonicNow()));
     }
   }
 
-  void On(const LeaveWanted&) {
+  void On(const LeaveRequested&) {
     this->leaving = true;
     this->core.BeginLeave();
-    for (const WorkId id : this->desk.All()) {
-      this->desk.GiveBack(id);
+    for (const WorkId id : this->batch_items.All()) {
+      this->batch_items.Return(id);
       this->StopRunning(id);
     }
     Log(LogLevel::kInfo, "leaving", {{"online", this->online.size()}});
   }
 
-  void On(const DumpWanted& wanted) {
+  void On(const DumpRequested& wanted) {
     wanted.answer->set_value(this->BuildDump());
   }
 
-  /// Shows other threads what the deciding thread knows.
-  void Publish() {
+  /// Publishes the state of the event loop thread to other threads.
+  void PublishState() {
     std::size_t open = 0;
     for (const auto& [id, state] : this->online) {
-      open += state.over_at == Time{} ? 1 : 0;
+      open += state.finished_at == Time{} ? 1 : 0;
     }
-    this->drained = this->leaving && open == 0 && this->desk.Held() == 0 &&
-                    this->desk.Unreported() == 0;
+    this->drained = this->leaving && open == 0 &&
+                    this->batch_items.Count() == 0 &&
+                    this->batch_items.Unreported() == 0;
     const std::lock_guard lock(this->report_mutex);
     this->report.name = this->name;
     this->report.role = "side";
@@ -648,8 +650,8 @@
     this->report.address = this->upstream_settings.gate_listen;
     this->report.incarnation = this->incarnation;
     this->report.revision = this->revision;
-    // A gate without its upstream is of no use to entries, but may come back:
-    // it is not leaving.
+    // A gate whose upstream is down is not leaving, as the upstream may
+    // recover.
     this->report.leaving = this->leaving;
     this->report.running =
         static_cast<std::uint32_t>(this->core.RunningOnline());
@@ -667,9 +669,9 @@
       requests.push_back({{"id", state.request.id},
                           {"attempt", state.request.attempt},
                           {"caller", state.request.caller},
-                          {"age_ms", ToSeconds(now - state.came) * 1000},
+                          {"age_ms", ToSeconds(now - state.arrived) * 1000},
                           {"tokens", state.answer.Tokens()},
-                          {"over", state.over_at != Time{}}});
+                          {"over", state.finished_at != Time{}}});
     }
     return {
         {"role", "side"},
@@ -689,15 +691,15 @@
         {"waiting_batch", this->core.WaitingBatch()},
         {"online_limit", this->core.OnlineLimit()},
         {"shared_limit", this->core.SharedLimit()},
-        {"items_held", this->desk.Held()},
-        {"outcomes_unreported", this->desk.Unreported()},
-        {"tokens_kept_over_preemptions", this->desk.tokens_kept()},
+        {"items_held", this->batch_items.Count()},
+        {"outcomes_unreported", this->batch_items.Unreported()},
+        {"tokens_kept_over_preemptions", this->batch_items.tokens_kept()},
         {"requests", requests}};
   }
 
-  // --- threads that wait for the network
+  // --- Threads that block on the network
 
-  void BeatLoop() {
+  void HeartbeatLoop() {
     std::uint64_t known = 0;
     while (!this->stopping) {
       try {
@@ -728,12 +730,13 @@
       } catch (const ResultError& error) {
         Log(LogLevel::kDebug, "heartbeat_failed", {{"reason", error.what()}});
       }
-      this->SleepUntilBeat();
+      this->SleepUntilHeartbeat();
     }
   }
 
-  /// The word "leaving" goes out at once, not with the next regular heartbeat.
-  void SleepUntilBeat() {
+  /// Waits for the next heartbeat, which is sent at once when the gate starts
+  /// to leave.
+  void SleepUntilHeartbeat() {
     constexpr std::chrono::milliseconds kStep{20};
     const bool was_leaving = this->leaving;
     for (Duration slept{0}; slept < this->settings.heartbeat; slept += kStep) {
@@ -769,7 +772,7 @@
   void ProbeLoop() {
     while (!this->stopping) {
       this->events.TryPush(ProbeResult{this->upstream->Healthy()});
-      std::this_thread::sleep_for(kProbeEvery);
+      std::this_thread::sleep_for(kProbeInterval);
     }
   }
 
@@ -785,7 +788,7 @@
   std::unique_ptr<UpstreamClient> upstream;
   std::unique_ptr<transport::PeerServer> server;
   GateCore core;
-  BatchDesk desk;
+  BatchItemTracker batch_items;
   documents::ServiceDocument document;
   std::map<WorkId, OnlineState> online;
   std::map<std::pair<std::string, std::uint32_t>, WorkId> by_request;
@@ -805,10 +808,10 @@
   Time last_pull{};
   std::mutex report_mutex;
   fleet::ProcessReport report;
-  std::thread decider;
-  std::thread beater;
-  std::thread puller;
-  std::thread prober;
+  std::thread event_thread;
+  std::thread heartbeat_thread;
+  std::thread pull_thread;
+  std::thread probe_thread;
 };
 
 GateServer::GateServer(const Settings& settings, std::size_t upstream,
@@ -817,7 +820,7 @@
 
 GateServer::~GateServer() = default;
 
-void GateServer::BeginLeave() { this->impl->events.TryPush(LeaveWanted{}); }
+void GateServer::BeginLeave() { this->impl->events.TryPush(LeaveRequested{}); }
 
 bool GateServer::Drained() const { return this->impl->drained; }
 
@@ -825,7 +828,7 @@
   constexpr std::chrono::seconds kPatience{2};
   auto answer = std::make_shared<std::promise<nlohmann::json>>();
   std::future<nlohmann::json> future = answer->get_future();
-  if (!this->impl->events.TryPush(DumpWanted{answer}) ||
+  if (!this->impl->events.TryPush(DumpRequested{answer}) ||
       future.wait_for(kPatience) != std::future_status::ready) {
     return {{"role", "side"}, {"error", "the deciding thread did not answer"}};
   }
--- a/src/gate/internal/replaybuffer.cpp
+++ b/src/gate/internal/replaybuffer.cpp
@@ -18,12 +18,12 @@
   }
 }
 
-void ReplayBuffer::Attach(transport::StreamId next, std::size_t have) {
+void ReplayBuffer::Attach(transport::StreamId next, std::size_t received) {
   if (this->stream != 0 && this->stream != next) {
     this->server->Finish(this->stream);
   }
   this->stream = next;
-  for (std::size_t i = have; i < this->messages.size(); ++i) {
+  for (std::size_t i = received; i < this->messages.size(); ++i) {
     this->server->Send(next, this->messages[i]);
   }
   if (this->finished) {
--- a/src/gate/internal/replaybuffer.h
+++ b/src/gate/internal/replaybuffer.h
@@ -9,9 +9,9 @@
 
 namespace papayarack::gate {
 
-/// The messages of one answer, kept until the answer is over and a little
-/// longer, so that an entry whose connection fell silent can take up the stream
-/// where it was. Thread safety: none, the deciding thread.
+/// The messages of one answer, kept until shortly after its end, so that an
+/// entry that lost its connection can resume the stream. Thread safety: none,
+/// event loop thread.
 class ReplayBuffer {
  public:
   ReplayBuffer(transport::PeerServer& server, transport::StreamId stream)
@@ -19,12 +19,12 @@
 
   /// Sends the message on the attached stream and keeps it.
   void Send(std::string message);
-  /// Ends the attached stream; later attachments are ended after the replay.
+  /// Ends the attached stream; streams attached later end after the replay.
   void Finish();
-  /// The stream is gone; the messages wait for another.
+  /// The stream was lost; the messages are kept for the next.
   void Detach() { this->stream = 0; }
-  /// Continues on a new stream after the first `have` messages.
-  void Attach(transport::StreamId next, std::size_t have);
+  /// Continues on a new stream after the first `received` messages.
+  void Attach(transport::StreamId next, std::size_t received);
   bool Attached() const { return this->stream != 0; }
   bool Finished() const { return this->finished; }
   transport::StreamId Stream() const { return this->stream; }
--- a/src/gate/internal/upstreamclient.cpp
+++ b/src/gate/internal/upstreamclient.cpp
@@ -14,8 +14,8 @@
 namespace papayarack::gate {
 namespace {
 
-constexpr std::chrono::seconds kConnect{1};
-constexpr std::chrono::milliseconds kWait{200};
+constexpr std::chrono::seconds kConnectTimeout{1};
+constexpr std::chrono::milliseconds kPollInterval{200};
 
 }  // namespace
 
@@ -23,7 +23,7 @@
   Impl(const Endpoint& upstream, std::size_t workers, UpstreamHandlers handlers)
       : upstream(upstream), handlers(std::move(handlers)), calls(workers) {
     for (std::size_t i = 0; i < workers; ++i) {
-      this->threads.emplace_back([this] { this->Work(); });
+      this->threads.emplace_back([this] { this->RunWorker(); });
     }
   }
 
@@ -40,9 +40,9 @@
     }
   }
 
-  void Work() {
+  void RunWorker() {
     while (true) {
-      std::optional<UpstreamCall> call = this->calls.Pop(kWait);
+      std::optional<UpstreamCall> call = this->calls.Pop(kPollInterval);
       if (call.has_value()) {
         this->Run(*call);
       } else if (this->calls.Closed()) {
@@ -51,9 +51,8 @@
     }
   }
 
-  /// Makes the client known for Cancel; false when the call was cancelled
-  /// before it began.
-  bool Enter(WorkId id, httplib::Client* client) {
+  /// Registers the client for Cancel; false if the call was already cancelled.
+  bool Register(WorkId id, httplib::Client* client) {
     const std::lock_guard lock(this->mutex);
     if (this->cancelled.erase(id) > 0) {
       return false;
@@ -62,7 +61,7 @@
     return true;
   }
 
-  void Leave(WorkId id) {
+  void Unregister(WorkId id) {
     const std::lock_guard lock(this->mutex);
     this->active.erase(id);
     this->cancelled.erase(id);
@@ -70,11 +69,12 @@
 
   void Run(const UpstreamCall& call) {
     httplib::Client client(this->upstream.host, this->upstream.port);
-    client.set_connection_timeout(kConnect);
+    client.set_connection_timeout(kConnectTimeout);
     client.set_read_timeout(
-        std::chrono::duration_cast<std::chrono::milliseconds>(call.silence));
+        std::chrono::duration_cast<std::chrono::milliseconds>(
+            call.read_timeout));
     client.set_tcp_nodelay(true);
-    if (!this->Enter(call.id, &client)) {
+    if (!this->Register(call.id, &client)) {
       this->handlers.on_end(call.id, UpstreamEnd::kUnstarted,
                             "cancelled before it was sent");
       return;
@@ -100,7 +100,7 @@
       return true;
     };
     const httplib::Result result = client.send(request);
-    this->Leave(call.id);
+    this->Unregister(call.id);
     if (result) {
       this->handlers.on_end(call.id, UpstreamEnd::kComplete, {});
     } else if (result.error() == httplib::Error::Connection ||
@@ -144,8 +144,8 @@
 
 bool UpstreamClient::Healthy() const {
   httplib::Client client(this->impl->upstream.host, this->impl->upstream.port);
-  client.set_connection_timeout(kConnect);
-  client.set_read_timeout(kConnect);
+  client.set_connection_timeout(kConnectTimeout);
+  client.set_read_timeout(kConnectTimeout);
   const httplib::Result result = client.Get("/health");
   return result && result->status == 200;
 }
--- a/src/gate/tests/answerassembler_tests.cpp
+++ b/src/gate/tests/answerassembler_tests.cpp
@@ -5,13 +5,13 @@
 
 namespace papayarack::gate {
 
-TEST_CASE("an engine's stream of events") {
+TEST_CASE("the event stream of an engine") {
   const std::string stream =
       "data: {\"id\":\"a\",\"choices\":[{\"delta\":{\"content\":\"in \"}}]}\n\n"
       "data: {\"id\":\"a\",\"choices\":[{\"delta\":{\"content\":\"stock\"},"
       "\"finish_reason\":\"stop\"}],\"usage\":{\"completion_tokens\":2}}\n\n";
   AnswerAssembler answer;
-  SECTION("is put together however its bytes arrive") {
+  SECTION("is assembled from any split of its bytes") {
     std::size_t tokens = 0;
     for (const char byte : stream + "data: [DONE]\n\n") {
       tokens += answer.Add(std::string_view(&byte, 1));
@@ -23,14 +23,14 @@
     CHECK(whole["choices"][0]["finish_reason"] == "stop");
     CHECK(whole["usage"]["completion_tokens"] == 2);
   }
-  SECTION("that ends without its closing event is not whole") {
+  SECTION("that ends without its closing event is incomplete") {
     answer.Add(stream);
     CHECK_FALSE(answer.Whole());
   }
   SECTION("that is not JSON is an error") {
     CHECK_THROWS_AS(answer.Add("data: {broken\n\n"), ResultError);
   }
-  SECTION("is taken up where an earlier run stopped") {
+  SECTION("is continued from the text of an earlier run") {
     answer.StartFrom("first ", 1);
     answer.Add(stream);
     CHECK(answer.Text() == "first in stock");
--- a/src/gate/tests/gatecore_tests.cpp
+++ b/src/gate/tests/gatecore_tests.cpp
@@ -9,7 +9,7 @@
 constexpr Duration kMs = std::chrono::milliseconds(1);
 constexpr Time kStart{std::chrono::seconds(50)};
 
-GateOptions Plain(std::uint32_t concurrent, std::size_t queue = 10) {
+GateOptions FixedLimit(std::uint32_t concurrent, std::size_t queue = 10) {
   GateOptions options;
   options.learns = false;
   options.limit.max_concurrent = concurrent;
@@ -35,23 +35,23 @@
 
 }  // namespace
 
-TEST_CASE("a gate full of batch work") {
-  GateCore gate(Plain(2), kStart);
+TEST_CASE("a gate whose upstream is full of batch work") {
+  GateCore gate(FixedLimit(2), kStart);
   gate.Batch({1, kStart + 1000 * kMs}, kStart);
   gate.Batch({2, kStart + 2000 * kMs}, kStart);
   REQUIRE(gate.RunningBatch() == 2);
   gate.Token(1, kStart + kMs);
 
-  // Symptom: a teller waits behind batch work. Sequence: batch fills the
-  // upstream; a teller asks. Cause: the engine knows no priorities and admits
-  // in order of arrival.
+  // Guards against an online request that waits behind batch work: batch fills
+  // the upstream, and an engine has no priorities but admits requests in order
+  // of arrival.
   SECTION(
-      "starts an online request at once and lets the batch work with least "
-      "done step aside") {
+      "starts an online request at once and preempts the batch work with the "
+      "fewest tokens") {
     const auto actions = gate.Online(Online(10), kStart + 2 * kMs);
     CHECK(Ids<StartWork>(actions) == std::vector<WorkId>{10});
     CHECK(Ids<PreemptBatch>(actions) == std::vector<WorkId>{2});
-    SECTION("and takes the batch work up again when there is room") {
+    SECTION("and restarts the batch work when the limit allows it") {
       gate.Batch({2, kStart + 2000 * kMs}, kStart + 3 * kMs);
       CHECK(Ids<StartWork>(gate.Ended(10, kStart + 4 * kMs)).empty());
       CHECK(Ids<StartWork>(gate.Ended(2, kStart + 5 * kMs)) ==
@@ -67,33 +67,33 @@
     CHECK(Ids<StartWork>(gate.Ended(10, kStart + kMs)) ==
           std::vector<WorkId>{12});
   }
-  SECTION("pulls no more than there is room for") {
-    CHECK(gate.BatchWanted(kStart) == Plain(2).pull_ahead);
+  SECTION("pulls only a limited number of items in advance") {
+    CHECK(gate.BatchWanted(kStart) == FixedLimit(2).pull_ahead);
   }
 }
 
 TEST_CASE("a gate under overload") {
-  GateCore gate(Plain(1, 2), kStart);
+  GateCore gate(FixedLimit(1, 2), kStart);
   gate.Online(Online(1), kStart);
   gate.Online(Online(2), kStart);
   gate.Online(Online(3), kStart);
 
-  SECTION("refuses beyond its queue and says when to come back") {
+  SECTION("refuses requests when its queue is full, with a retry delay") {
     const auto actions = gate.Online(Online(4), kStart);
     REQUIRE(actions.size() == 1);
     const auto& refusal = std::get<RefuseOnline>(actions[0]);
     CHECK(refusal.result.code == ResultCode::kOverloaded);
     CHECK(refusal.result.retry_after.count() > 0);
   }
-  SECTION("refuses at once what would wait past its deadline") {
-    GateCore fresh(Plain(1, 50), kStart);
+  SECTION("refuses at once a request that would wait past its deadline") {
+    GateCore fresh(FixedLimit(1, 50), kStart);
     fresh.Online(Online(1), kStart);
     const auto actions =
         fresh.Online(Online(2, "kivu", kStart + 5 * kMs), kStart);
     CHECK(Ids<RefuseOnline>(actions) == std::vector<WorkId>{2});
   }
-  SECTION("drops what passed its deadline in the queue before it starts") {
-    GateCore fresh(Plain(1, 50), kStart);
+  SECTION("refuses a request whose deadline passes in the queue") {
+    GateCore fresh(FixedLimit(1, 50), kStart);
     fresh.Online(Online(1), kStart);
     fresh.Online(Online(2, "kivu", kStart + 1500 * kMs), kStart);
     CHECK(Ids<RefuseOnline>(fresh.Tick(kStart + 1500 * kMs)) ==
@@ -102,8 +102,8 @@
   }
 }
 
-TEST_CASE("a caller with many requests does not hold back one with few") {
-  GateCore gate(Plain(1, 50), kStart);
+TEST_CASE("a caller with many requests does not delay one with few") {
+  GateCore gate(FixedLimit(1, 50), kStart);
   gate.Online(Online(1, "busy"), kStart);
   for (WorkId id = 2; id < 10; ++id) {
     gate.Online(Online(id, "busy"), kStart);
@@ -118,11 +118,11 @@
   CHECK(std::ranges::count(order, WorkId{20}) == 1);
 }
 
-TEST_CASE("a gate whose upstream goes away") {
-  GateCore gate(Plain(1), kStart);
+TEST_CASE("a gate whose upstream becomes unreachable") {
+  GateCore gate(FixedLimit(1), kStart);
   gate.Online(Online(1), kStart);
   gate.Online(Online(2), kStart);
-  SECTION("says of what waits that it was not run, and starts nothing") {
+  SECTION("refuses waiting requests and starts nothing") {
     const auto actions = gate.SetUpstreamUp(false, kStart);
     CHECK(Ids<RefuseOnline>(actions) == std::vector<WorkId>{2});
     CHECK(Ids<RefuseOnline>(gate.Online(Online(3), kStart)) ==
@@ -131,8 +131,8 @@
   }
 }
 
-TEST_CASE("a leaving gate takes nothing new and finishes what it has") {
-  GateCore gate(Plain(1), kStart);
+TEST_CASE("a leaving gate refuses new requests and finishes the others") {
+  GateCore gate(FixedLimit(1), kStart);
   gate.Online(Online(1), kStart);
   gate.Online(Online(2), kStart);
   gate.BeginLeave();
@@ -141,9 +141,9 @@
   CHECK(Ids<StartWork>(gate.Ended(1, kStart)) == std::vector<WorkId>{2});
 }
 
-TEST_CASE("the limit is learned from the times between tokens") {
+TEST_CASE("the limits adapt to the times between tokens") {
   LimitOptions options;
-  LearnedLimit limit(options, kStart);
+  AdaptiveLimit limit(options, kStart);
   Time now = kStart;
   constexpr std::size_t kKnee = 20;
   const auto run = [&](int windows) {
@@ -159,11 +159,11 @@
     }
   };
   run(300);
-  SECTION("it settles where crowding begins") {
+  SECTION("the shared limit settles where tokens begin to slow down") {
     CHECK(limit.Shared() >= kKnee * 8 / 10);
     CHECK(limit.Shared() <= kKnee * 12 / 10);
   }
-  SECTION("it falls when the target of the document is missed") {
+  SECTION("the online limit falls when the target of the document is missed") {
     const std::size_t before = limit.Online();
     for (int token = 0; token < 200; ++token) {
       now += 10 * kMs;
--- a/src/gate/tests/gatefuzz_tests.cpp
+++ b/src/gate/tests/gatefuzz_tests.cpp
@@ -11,7 +11,8 @@
 
 constexpr Duration kMs = std::chrono::milliseconds(1);
 
-/// What any gate must keep, whatever comes: a plain list of what is where.
+/// A reference model of a gate that checks its invariants: tracks the state of
+/// each request and item.
 class GateOracle {
  public:
   explicit GateOracle(const GateOptions& options)
@@ -26,7 +27,8 @@
       case 2: {
         const WorkId id = ++this->last_id;
         this->batch.insert(id);
-        this->Follow(this->gate.Batch({id, this->now + pick * kMs}, this->now));
+        this->Execute(
+            this->gate.Batch({id, this->now + pick * kMs}, this->now));
         break;
       }
       case 3:
@@ -35,22 +37,22 @@
         break;
       case 5:
         if (!this->running.empty()) {
-          this->Follow(
+          this->Execute(
               this->gate.Token(this->Nth(this->running, pick), this->now));
         }
         break;
       case 6:
         this->now += (pick % 400) * kMs;
-        this->Follow(this->gate.Tick(this->now));
+        this->Execute(this->gate.Tick(this->now));
         break;
       default:
         this->DropOne(pick);
         break;
     }
-    this->CheckAlways();
+    this->CheckInvariants();
   }
 
-  /// Once nothing new comes, everything ends: nothing is stuck or lost.
+  /// Ends all work without new arrivals and checks that none is stuck or lost.
   void Finish() {
     for (int i = 0;
          i < 5000 && (!this->running.empty() || !this->waiting.empty() ||
@@ -58,7 +60,7 @@
          ++i) {
       this->now += 50 * kMs;
       this->End(0);
-      this->Follow(this->gate.Tick(this->now));
+      this->Execute(this->gate.Tick(this->now));
     }
     RC_ASSERT(this->running.empty());
     RC_ASSERT(this->waiting.empty());
@@ -75,7 +77,7 @@
     const WorkId id = ++this->last_id;
     this->waiting.insert(id);
     const Time deadline = this->now + (1 + pick % 5000) * kMs;
-    this->Follow(this->gate.Online(
+    this->Execute(this->gate.Online(
         {id, std::string(1, static_cast<char>('a' + pick % 3)), deadline,
          pick % 2},
         this->now));
@@ -88,11 +90,11 @@
     const WorkId id = this->Nth(this->running, pick);
     this->running.erase(id);
     this->online_running.erase(id);
-    const bool comes_back = this->preempted.erase(id) > 0;
-    this->Follow(this->gate.Ended(id, this->now));
-    if (comes_back) {
+    const bool restarts = this->preempted.erase(id) > 0;
+    this->Execute(this->gate.Ended(id, this->now));
+    if (restarts) {
       this->batch.insert(id);
-      this->Follow(this->gate.Batch({id, this->now}, this->now));
+      this->Execute(this->gate.Batch({id, this->now}, this->now));
     }
   }
 
@@ -110,19 +112,19 @@
     this->dropped.insert(id);
   }
 
-  void Follow(const std::vector<GateAction>& actions) {
+  void Execute(const std::vector<GateAction>& actions) {
     for (const GateAction& action : actions) {
       if (const auto* start = std::get_if<StartWork>(&action)) {
         RC_ASSERT(this->running.count(start->id) ==
-                  0U);  // At most once at a time.
+                  0U);  // Never run twice at a time.
         RC_ASSERT(this->refused.count(start->id) ==
-                  0U);  // "Not run" stays true.
+                  0U);  // Refused work never runs.
         RC_ASSERT(this->dropped.count(start->id) ==
-                  0U);  // Dropped work does not start.
+                  0U);  // Dropped work never starts.
         const bool online = this->waiting.erase(start->id) > 0;
         if (!online) {
           RC_ASSERT(this->batch.erase(start->id) == 1U);
-          // Head of line: no batch work starts while an online request waits.
+          // No batch work starts while an online request waits.
           RC_ASSERT(this->waiting.empty());
         } else {
           this->online_running.insert(start->id);
@@ -140,12 +142,12 @@
     }
   }
 
-  void CheckAlways() {
+  void CheckInvariants() {
     RC_ASSERT(this->gate.WaitingOnline() == this->waiting.size());
     RC_ASSERT(this->gate.WaitingOnline() <= this->options.max_queue);
     RC_ASSERT(this->gate.RunningOnline() == this->online_running.size());
-    // Work conservation and no head of line: online waits only while online
-    // fills its limit.
+    // Work conservation without head-of-line blocking: online requests wait
+    // only while others use the whole online limit.
     if (!this->waiting.empty()) {
       RC_ASSERT(this->online_running.size() >= this->gate.OnlineLimit());
     }
@@ -166,7 +168,7 @@
 
 }  // namespace
 
-TEST_CASE("whatever comes, a gate keeps its promises") {
+TEST_CASE("a gate keeps its invariants under random events") {
   CHECK(rc::check("random arrivals, ends, tokens, drops and time", [] {
     GateOptions options;
     options.learns = *rc::gen::arbitrary<bool>();
--- a/src/gate/upstreamclient.h
+++ b/src/gate/upstreamclient.h
@@ -20,29 +20,29 @@
   std::string target;
   std::string content_type = "application/json";
   std::string body;
-  /// No byte for so long means that the connection has fallen silent.
-  Duration silence{std::chrono::seconds(10)};
+  /// Read timeout of the connection.
+  Duration read_timeout{std::chrono::seconds(10)};
 };
 
 enum class UpstreamEnd : std::uint8_t {
-  kComplete,   ///< The HTTP answer ended as the protocol says.
-  kNotSent,    ///< No connection: certainly not run.
-  kUnstarted,  ///< Given up before a connection was tried: certainly not run.
-  kBroken,     ///< Cut, silent or cancelled: it may have run.
+  kComplete,   ///< The HTTP response ended regularly.
+  kNotSent,    ///< No connection: not run.
+  kUnstarted,  ///< Cancelled before connecting: not run.
+  kBroken,     ///< Cut, timed out or cancelled: it may have run.
 };
 
-/// Called on worker threads, for one call always in the order head, bytes, end;
-/// end once.
+/// Called on worker threads; for each call in the order head, bytes, end. The
+/// end comes exactly once.
 struct UpstreamHandlers {
   std::function<void(WorkId, int status, std::string content_type)> on_head;
   std::function<void(WorkId, std::string bytes)> on_bytes;
   std::function<void(WorkId, UpstreamEnd, std::string reason)> on_end;
 };
 
-/// Talks HTTP to the upstream, a worker thread and a fresh connection for each
-/// running call: a connection that something has forgotten is never used again,
-/// and cancelling a call closes its connection, which is how engines learn of
-/// it. Thread safety: every method, any thread.
+/// HTTP client of the upstream. Each running call has a worker thread and a new
+/// connection: a stale connection is never reused, and cancelling a call closes
+/// its connection, by which engines detect the cancellation. Thread safety: any
+/// thread.
 class UpstreamClient {
  public:
   UpstreamClient(const Endpoint& upstream, std::size_t workers,
@@ -51,12 +51,12 @@
   UpstreamClient(const UpstreamClient&) = delete;
   UpstreamClient& operator=(const UpstreamClient&) = delete;
 
-  /// Begins a call; false when every worker is taken and the ring is full:
-  /// nothing was sent.
+  /// Starts a call; false if all workers are busy and the queue is full, in
+  /// which case nothing was sent.
   bool Start(UpstreamCall call);
   /// Ends a call early; its on_end(kBroken) follows.
   void Cancel(WorkId id);
-  /// Asks the upstream's health page. Waits up to a second.
+  /// Queries the upstream's health endpoint. Blocks for up to a second.
   bool Healthy() const;
 
  private:
