--- a/src/coordination/coordinationmessages.h
+++ b/src/coordination/coordinationmessages.h
@@ -8,7 +8,7 @@
 #include "consensus/raftmessages.h"
 #include "coordination/contentchunks.h"
 #include "global/messagecodec.h"
-#include "quarantine/crashledger.h"
+#include "quarantine/crashtracker.h"
 
 /// Messages between any process and the members of the coordination group.
 namespace papayarack::coordination {
--- a/src/coordination/crashreports.h
+++ b/src/coordination/crashreports.h
@@ -8,7 +8,7 @@
 
 #include "coordination/coordinationmessages.h"
 #include "global/timepoint.h"
-#include "quarantine/crashledger.h"
+#include "quarantine/crashtracker.h"
 
 namespace papayarack::coordination {
 
--- a/src/coordination/internal/crashreports.cpp
+++ b/src/coordination/internal/crashreports.cpp
@@ -4,7 +4,7 @@
 
 namespace papayarack::coordination {
 
-using quarantine::CrashLedger;
+using quarantine::CrashTracker;
 using quarantine::Fingerprint;
 
 void CrashReports::Add(Report report) {
@@ -27,7 +27,7 @@
 
 void CrashReports::AddTo(WatchRequest& request, Time now) {
   std::erase_if(this->reports, [now](const Report& report) {
-    return now - report.when > CrashLedger::kRemember;
+    return now - report.when > CrashTracker::kRetention;
   });
   this->asked_number = this->last_number;
   this->asked_term = request.term;
--- a/src/coordination/internal/quarantinekeeper.cpp
+++ b/src/coordination/internal/quarantinekeeper.cpp
@@ -9,7 +9,7 @@
 
 using quarantine::CrashReport;
 using quarantine::Fingerprint;
-using quarantine::Verdict;
+using quarantine::QuarantineDecision;
 
 void QuarantineKeeper::BeginTerm() { this->ledger.Clear(); }
 
@@ -32,7 +32,7 @@
 }
 
 void QuarantineKeeper::Judge(Time now) {
-  for (const Verdict& verdict : this->ledger.Judge(now)) {
+  for (const QuarantineDecision& verdict : this->ledger.Evaluate(now)) {
     Log(LogLevel::kWarn, "request_quarantined",
         {{"fingerprint", verdict.request.ToString()},
          {"crashes", verdict.replicas.size()},
@@ -57,7 +57,7 @@
     return;
   }
   reply.has_quarantined = true;
-  reply.quarantined = this->ledger.Verdicts();
+  reply.quarantined = this->ledger.QuarantinedRequests();
 }
 
 }  // namespace papayarack::coordination
--- a/src/coordination/quarantinekeeper.h
+++ b/src/coordination/quarantinekeeper.h
@@ -5,7 +5,7 @@
 
 #include "coordination/coordinationmessages.h"
 #include "global/timepoint.h"
-#include "quarantine/crashledger.h"
+#include "quarantine/crashtracker.h"
 
 namespace papayarack::coordination {
 
@@ -26,7 +26,7 @@
   void AddTo(const WatchRequest& request, WatchReply& reply) const;
 
  private:
-  quarantine::CrashLedger ledger;
+  quarantine::CrashTracker ledger;
 };
 
 }  // namespace papayarack::coordination
--- a/src/nodes/crashwatch.h
+++ b/src/nodes/crashwatch.h
@@ -9,7 +9,7 @@
 #include "coordination/fleetwatch.h"
 #include "http/httpserver.h"
 #include "placement/enginestart.h"
-#include "quarantine/crashledger.h"
+#include "quarantine/crashtracker.h"
 #include "quarantine/fingerprint.h"
 #include "quarantine/recentsurvivals.h"
 
@@ -51,7 +51,7 @@
   asio::io_context& context;
   coordination::FleetWatch& watch;
   quarantine::RecentSurvivals survivals;
-  quarantine::CrashLedger own;  ///< Of this entry's reports alone.
+  quarantine::CrashTracker own;  ///< Of this entry's reports alone.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/nodes/internal/crashwatch.cpp
+++ b/src/nodes/internal/crashwatch.cpp
@@ -83,13 +83,14 @@
        {"fingerprint", probe.request.ToString()},
        {"replica", replica}});
   this->own.Crashed({probe.request, replica, 0}, now);
-  this->own.Judge(now);
+  this->own.Evaluate(now);
   this->watch.ReportCrash(probe.request, replica);
 }
 
 void CrashWatch::Survived(const Fingerprint& request) {
   this->survivals.Add(request);
-  if (this->own.Names(request) || this->watch.crashes().Quarantined(request)) {
+  if (this->own.IsSuspect(request) ||
+      this->watch.crashes().Quarantined(request)) {
     this->own.Survived(request, MonotonicNow());
     this->watch.ReportSurvival(request);
   }
--- a/src/nodes/internal/onlinerelay.cpp
+++ b/src/nodes/internal/onlinerelay.cpp
@@ -25,7 +25,7 @@
 constexpr std::chrono::milliseconds kNoWaitNamed{-1};
 /// For a request that is not to be run: as long as that stands.
 constexpr std::chrono::seconds kQuarantineRetryAfter =
-    quarantine::CrashLedger::kRemember;
+    quarantine::CrashTracker::kRetention;
 constexpr int kServiceUnavailable = 503;
 constexpr int kBadGateway = 502;
 constexpr int kGatewayTimeout = 504;
--- a/src/quarantine/fingerprint.h
+++ b/src/quarantine/fingerprint.h
@@ -9,8 +9,8 @@
 
 namespace papayarack::quarantine {
 
-/// Names a request by its content: the same from one attempt of a caller to the
-/// next, whatever id the attempt has. 128 bits of XXH3.
+/// Identifies a request by its content, so that all attempts of a caller share
+/// it regardless of their id. A 128-bit XXH3 hash.
 struct Fingerprint {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -20,14 +20,14 @@
     return std::tie(this->high, this->low) < std::tie(other.high, other.low);
   }
 
-  /// In hexadecimal, as logs show it.
+  /// Hexadecimal form, as in the log.
   std::string ToString() const;
 };
 
-/// What makes two attempts the same request.
+/// The parts of a request that its fingerprint covers.
 struct RequestContent {
   std::string_view method;
-  std::string_view host;  ///< Names the caller's organisation and service.
+  std::string_view host;  ///< Identifies the caller's organisation and service.
   std::string_view target;
   std::string_view body;
 };
--- a/src/quarantine/internal/crashledger.cpp
+++ b/src/quarantine/internal/crashtracker.cpp
@@ -1,4 +1,4 @@
-#include "quarantine/crashledger.h"
+#include "quarantine/crashtracker.h"
 
 #include <algorithm>
 #include <iterator>
@@ -8,15 +8,16 @@
 namespace papayarack::quarantine {
 namespace {
 
-/// Halves of a crash, by whether another request has been found to cause it.
+/// Weight of a crash in halves: whole, or half if a quarantined request
+/// explains it.
 constexpr std::size_t kWholeCrash = 2;
 constexpr std::size_t kExplainedCrash = 1;
-constexpr std::size_t kHalvesForVerdict =
-    CrashLedger::kCrashesForVerdict * kWholeCrash;
+constexpr std::size_t kHalvesThreshold =
+    CrashTracker::kCrashThreshold * kWholeCrash;
 
 template <typename Map>
-void DropOldestAbove(Map& map, std::size_t most) {
-  while (map.size() > most) {
+void DropOldestAbove(Map& map, std::size_t limit) {
+  while (map.size() > limit) {
     map.erase(std::ranges::min_element(
         map, {}, [](const auto& entry) { return entry.second; }));
   }
@@ -24,15 +25,15 @@
 
 }  // namespace
 
-void CrashLedger::Clear() {
+void CrashTracker::Clear() {
   this->crashes.clear();
   this->suspects.clear();
-  this->verdicts.clear();
+  this->quarantined.clear();
   this->survivors.clear();
   ++this->changes;
 }
 
-void CrashLedger::Crashed(const CrashReport& report, Time now) {
+void CrashTracker::Crashed(const CrashReport& report, Time now) {
   if (this->survivors.count(report.request) > 0) {
     return;
   }
@@ -41,21 +42,21 @@
   if (is_new) {
     crash->second.when = when;
   }
-  if (crash->second.ran.size() >= kMostRequestsOfCrash) {
+  if (crash->second.ran.size() >= kMaxRequestsPerCrash) {
     return;
   }
   crash->second.ran.insert(report.request);
   if (!this->Quarantined(report.request)) {
     this->suspects[report.request].insert(report.replica);
   }
-  if (this->crashes.size() > kMostCrashes) {
+  if (this->crashes.size() > kMaxCrashes) {
     this->Drop(std::ranges::min_element(
         this->crashes, {},
         [](const auto& entry) { return entry.second.when; }));
   }
 }
 
-CrashLedger::Crashes::iterator CrashLedger::Drop(Crashes::iterator crash) {
+CrashTracker::Crashes::iterator CrashTracker::Drop(Crashes::iterator crash) {
   for (const Fingerprint& request : crash->second.ran) {
     const auto suspect = this->suspects.find(request);
     if (suspect != this->suspects.end()) {
@@ -67,48 +68,48 @@
   return this->crashes.erase(crash);
 }
 
-void CrashLedger::Survived(const Fingerprint& request, Time now) {
+void CrashTracker::Survived(const Fingerprint& request, Time now) {
   this->survivors[request] = now;
-  DropOldestAbove(this->survivors, kMostCrashes);
+  DropOldestAbove(this->survivors, kMaxCrashes);
   this->suspects.erase(request);
   for (auto& [replica, crash] : this->crashes) {
     crash.ran.erase(request);
   }
-  this->changes += this->verdicts.erase(request);
+  this->changes += this->quarantined.erase(request);
 }
 
-void CrashLedger::Learn(const Fingerprint& request, Time now) {
+void CrashTracker::Learn(const Fingerprint& request, Time now) {
   if (!this->Quarantined(request) && this->survivors.count(request) == 0) {
-    this->AddVerdict(request, now);
+    this->AddToQuarantine(request, now);
   }
 }
 
-void CrashLedger::AddVerdict(const Fingerprint& request, Time now) {
+void CrashTracker::AddToQuarantine(const Fingerprint& request, Time now) {
   this->suspects.erase(request);
-  this->verdicts[request] = now;
-  DropOldestAbove(this->verdicts, kMostVerdicts);
+  this->quarantined[request] = now;
+  DropOldestAbove(this->quarantined, kMaxQuarantined);
   ++this->changes;
 }
 
-void CrashLedger::ForgetOld(Time now) {
-  const auto old = [now](Time when) { return now - when > kRemember; };
+void CrashTracker::ForgetOld(Time now) {
+  const auto old = [now](Time when) { return now - when > kRetention; };
   for (auto crash = this->crashes.begin(); crash != this->crashes.end();) {
     crash = old(crash->second.when) ? this->Drop(crash) : std::next(crash);
   }
   std::erase_if(this->survivors,
                 [&](const auto& entry) { return old(entry.second); });
   this->changes += std::erase_if(
-      this->verdicts, [&](const auto& entry) { return old(entry.second); });
+      this->quarantined, [&](const auto& entry) { return old(entry.second); });
 }
 
-bool CrashLedger::ExplainedByOther(const Crash& crash,
-                                   const Fingerprint& request) const {
+bool CrashTracker::ExplainedByOther(const Crash& crash,
+                                    const Fingerprint& request) const {
   return std::ranges::any_of(crash.ran, [&](const Fingerprint& other) {
     return other != request && this->Quarantined(other);
   });
 }
 
-CrashLedger::Evidence CrashLedger::EvidenceOf(
+CrashTracker::Evidence CrashTracker::EvidenceOf(
     const Fingerprint& request, const std::set<std::string>& replicas) const {
   std::vector<std::pair<Time, std::string>> in_order;
   in_order.reserve(replicas.size());
@@ -120,25 +121,25 @@
   std::optional<Time> counted;
   for (const auto& [when, replica] : in_order) {
     found.replicas.push_back(replica);
-    if (counted.has_value() && when - *counted < kSameMoment) {
+    if (counted.has_value() && when - *counted < kSameEventWindow) {
       continue;
     }
     counted = when;
-    const bool had_enough = found.halves >= kHalvesForVerdict;
+    const bool was_reached = found.halves >= kHalvesThreshold;
     found.halves += this->ExplainedByOther(this->crashes.at(replica), request)
                         ? kExplainedCrash
                         : kWholeCrash;
-    if (!had_enough && found.halves >= kHalvesForVerdict) {
-      found.enough = when;
+    if (!was_reached && found.halves >= kHalvesThreshold) {
+      found.threshold_reached = when;
     }
   }
   return found;
 }
 
-std::size_t CrashLedger::RivalsOf(const Fingerprint& request,
-                                  const Evidence& known) const {
+std::size_t CrashTracker::CountRivals(const Fingerprint& request,
+                                      const Evidence& evidence) const {
   std::set<Fingerprint> beside;
-  for (const std::string& replica : known.replicas) {
+  for (const std::string& replica : evidence.replicas) {
     const std::set<Fingerprint>& ran = this->crashes.at(replica).ran;
     beside.insert(ran.begin(), ran.end());
   }
@@ -146,36 +147,37 @@
       std::ranges::count_if(beside, [&](const Fingerprint& other) {
         const auto suspect = this->suspects.find(other);
         return other != request && suspect != this->suspects.end() &&
-               this->EvidenceOf(other, suspect->second).halves >= known.halves;
+               this->EvidenceOf(other, suspect->second).halves >=
+                   evidence.halves;
       }));
 }
 
-std::vector<Verdict> CrashLedger::Judge(Time now) {
+std::vector<QuarantineDecision> CrashTracker::Evaluate(Time now) {
   this->ForgetOld(now);
-  std::vector<Verdict> due;
+  std::vector<QuarantineDecision> due;
   for (const auto& [request, replicas] : this->suspects) {
-    if (replicas.size() < kCrashesForVerdict) {
+    if (replicas.size() < kCrashThreshold) {
       continue;
     }
-    Evidence known = this->EvidenceOf(request, replicas);
-    if (known.halves < kHalvesForVerdict) {
+    Evidence evidence = this->EvidenceOf(request, replicas);
+    if (evidence.halves < kHalvesThreshold) {
       continue;
     }
-    const std::size_t rivals = this->RivalsOf(request, known);
-    if (rivals == 0 || now - known.enough >= kTieWait) {
-      due.push_back({request, std::move(known.replicas), rivals});
+    const std::size_t rivals = this->CountRivals(request, evidence);
+    if (rivals == 0 || now - evidence.threshold_reached >= kTieDelay) {
+      due.push_back({request, std::move(evidence.replicas), rivals});
     }
   }
-  for (const Verdict& verdict : due) {
-    this->AddVerdict(verdict.request, now);
+  for (const QuarantineDecision& decision : due) {
+    this->AddToQuarantine(decision.request, now);
   }
   return due;
 }
 
-std::vector<Fingerprint> CrashLedger::Verdicts() const {
+std::vector<Fingerprint> CrashTracker::QuarantinedRequests() const {
   std::vector<Fingerprint> all;
-  all.reserve(this->verdicts.size());
-  for (const auto& [request, since] : this->verdicts) {
+  all.reserve(this->quarantined.size());
+  for (const auto& [request, since] : this->quarantined) {
     all.push_back(request);
   }
   return all;
--- a/src/quarantine/internal/fingerprint.cpp
+++ b/src/quarantine/internal/fingerprint.cpp
@@ -19,7 +19,7 @@
   const std::array<std::string_view, 4> parts = {content.method, content.host,
                                                  content.target, content.body};
   for (const std::string_view part : parts) {
-    // The length in front, so that no two requests join to the same bytes.
+    // The length prefix keeps different parts from joining to the same bytes.
     const std::uint64_t size = part.size();
     XXH3_128bits_update(state.get(), &size, sizeof(size));
     XXH3_128bits_update(state.get(), part.data(), part.size());
--- a/src/quarantine/recentsurvivals.h
+++ b/src/quarantine/recentsurvivals.h
@@ -8,24 +8,24 @@
 
 namespace papayarack::quarantine {
 
-/// Requests that a replica has lately run to the end: they do not crash each
-/// replica that runs them. A cache with one place for each hash value, so that
-/// it costs 16 KB whatever comes; a request that lost its place is only not
-/// known to be harmless. Thread safety: none.
+/// Requests that a replica has recently completed, so that they do not crash
+/// every replica that runs them. A direct-mapped cache of constant size (16
+/// KB); an evicted request is only no longer known to be harmless. Thread
+/// safety: none.
 class RecentSurvivals {
  public:
-  void Add(const Fingerprint& request) { this->PlaceOf(request) = request; }
+  void Add(const Fingerprint& request) { this->EntryOf(request) = request; }
   bool Has(const Fingerprint& request) const {
-    return this->places[request.low % kPlaces] == request;
+    return this->entries[request.low % kEntries] == request;
   }
 
  private:
-  static constexpr std::size_t kPlaces = 1024;
-  Fingerprint& PlaceOf(const Fingerprint& request) {
-    return this->places[request.low % kPlaces];
+  static constexpr std::size_t kEntries = 1024;
+  Fingerprint& EntryOf(const Fingerprint& request) {
+    return this->entries[request.low % kEntries];
   }
 
-  std::vector<Fingerprint> places = std::vector<Fingerprint>(kPlaces);
+  std::vector<Fingerprint> entries = std::vector<Fingerprint>(kEntries);
 };
 
 }  // namespace papayarack::quarantine
--- a/src/quarantine/tests/fingerprint_tests.cpp
+++ b/src/quarantine/tests/fingerprint_tests.cpp
@@ -5,24 +5,24 @@
 
 namespace papayarack::quarantine {
 
-TEST_CASE("a request is known by its content") {
+TEST_CASE("a fingerprint identifies a request by its content") {
   const RequestContent content{"POST", "h.example", "/a/b", "body"};
   const Fingerprint fingerprint = FingerprintOf(content);
 
-  SECTION("the same at each attempt") {
+  SECTION("it is the same for each attempt") {
     CHECK(FingerprintOf({"POST", "h.example", "/a/b", "body"}) == fingerprint);
     CHECK(fingerprint.ToString().size() == 32);
   }
-  SECTION("another with any other part") {
+  SECTION("it differs if any part differs") {
     CHECK(FingerprintOf({"GET", "h.example", "/a/b", "body"}) != fingerprint);
     CHECK(FingerprintOf({"POST", "g.example", "/a/b", "body"}) != fingerprint);
     CHECK(FingerprintOf({"POST", "h.example", "/a/c", "body"}) != fingerprint);
     CHECK(FingerprintOf({"POST", "h.example", "/a/b", "bodx"}) != fingerprint);
   }
-  SECTION("also where the parts join to the same bytes") {
+  SECTION("it differs even if the joined parts are the same bytes") {
     CHECK(FingerprintOf({"POST", "h.example", "/a/bb", "ody"}) != fingerprint);
   }
-  SECTION("and remembered as harmless once a replica ran it to the end") {
+  SECTION("a completed request is found by it") {
     RecentSurvivals survivals;
     CHECK_FALSE(survivals.Has(fingerprint));
     survivals.Add(fingerprint);
