--- a/src/entry/tests/onlinecall_tests.cpp
+++ b/src/entry/tests/onlinecall_tests.cpp
@@ -145,11 +145,11 @@
   OnlineCall call = fixture.Call(false);
   std::thread gate([&] {
     auto [gate, request] = fixture.WaitForRequest();
-    CHECK_FALSE(request.request.take_up);
+    CHECK_FALSE(request.request.resume_only);
     gate->server.Finish(request.stream);  // The stream ends without a message.
     for (int i = 0; i < 3; ++i) {
       auto [same, again] = fixture.WaitForRequest();
-      CHECK(again.request.take_up);
+      CHECK(again.request.resume_only);
       CHECK(again.request.attempt == 1);
       same->server.Finish(again.stream);
     }
@@ -171,7 +171,7 @@
     gate->Send(request.stream, gate::AnswerBytes{"one "});
     gate->server.Finish(request.stream);
     auto [same, again] = fixture.WaitForRequest();
-    CHECK(again.request.have_messages == 2);
+    CHECK(again.request.received_messages == 2);
     same->Send(again.stream, gate::AnswerBytes{"two"});
     same->Send(again.stream, gate::AnswerEnd{});
     same->server.Finish(again.stream);
--- a/src/nodes/crashdetector.h
+++ b/src/nodes/crashdetector.h
@@ -9,7 +9,7 @@
 #include "coordination/fleetwatch.h"
 #include "http/httpserver.h"
 #include "placement/enginestart.h"
-#include "quarantine/crashledger.h"
+#include "quarantine/crashtracker.h"
 #include "quarantine/fingerprint.h"
 #include "quarantine/recentsurvivals.h"
 
@@ -52,7 +52,7 @@
   asio::io_context& context;
   coordination::FleetWatch& watch;
   quarantine::RecentSurvivals survivals;
-  quarantine::CrashLedger local_ledger;  ///< From this entry's reports only.
+  quarantine::CrashTracker local_ledger;  ///< From this entry's reports only.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/nodes/internal/crashdetector.cpp
+++ b/src/nodes/internal/crashdetector.cpp
@@ -84,13 +84,13 @@
        {"fingerprint", probe.request.ToString()},
        {"replica", replica}});
   this->local_ledger.Crashed({probe.request, replica, 0}, now);
-  this->local_ledger.Judge(now);
+  this->local_ledger.Evaluate(now);
   this->watch.ReportCrash(probe.request, replica);
 }
 
 void CrashDetector::Survived(const Fingerprint& request) {
   this->survivals.Add(request);
-  if (this->local_ledger.Names(request) ||
+  if (this->local_ledger.IsSuspect(request) ||
       this->watch.crashes().Quarantined(request)) {
     this->local_ledger.Survived(request, MonotonicNow());
     this->watch.ReportSurvival(request);
