--- a/bench/resultbench.cpp
+++ b/bench/resultbench.cpp
@@ -109,8 +109,8 @@
 
   void Start(const consensus::MemberList& founders,
              const routes::RouteTablePtr& table) {
-    consensus::FoundGroup(*this->files, coordination::kJobGroup, founders);
-    consensus::IdentifyFolder(*this->files, {this->id, "bench"});
+    consensus::CreateGroup(*this->files, coordination::kJobGroup, founders);
+    consensus::WriteIdentity(*this->files, {this->id, "bench"});
     batches::BatchStoreOptions options;
     options.member = this->id;
     options.address = this->Address();
--- a/src/batches/batchbook.h
+++ b/src/batches/batchstate.h
@@ -1,5 +1,5 @@
-#ifndef PAPAYARACK_BATCHES_BATCHBOOK_H_
-#define PAPAYARACK_BATCHES_BATCHBOOK_H_
+#ifndef PAPAYARACK_BATCHES_BATCHSTATE_H_
+#define PAPAYARACK_BATCHES_BATCHSTATE_H_
 
 #include <map>
 #include <optional>
@@ -30,7 +30,7 @@
 /// Every batch, its items and its results: the durable state of the job group.
 /// An item is listed at most once, and a listed result never changes. Thread
 /// safety: none.
-class BatchBook {
+class BatchState {
  public:
   struct Item {
     ItemSpec spec;
@@ -75,7 +75,7 @@
   };
 
   /// Precondition: `files` outlives the book.
-  explicit BatchBook(storage::FileSystem& files) : texts(files) {}
+  explicit BatchState(storage::FileSystem& files) : texts(files) {}
 
   /// Applies one committed command; malformed ones change nothing.
   BatchReply Apply(std::string_view command);
@@ -131,4 +131,4 @@
 
 }  // namespace papayarack::batches
 
-#endif  // PAPAYARACK_BATCHES_BATCHBOOK_H_
+#endif  // PAPAYARACK_BATCHES_BATCHSTATE_H_
--- a/src/batches/batchstore.h
+++ b/src/batches/batchstore.h
@@ -10,8 +10,8 @@
 #include <string_view>
 #include <vector>
 
-#include "batches/batchbook.h"
-#include "batches/leasedesk.h"
+#include "batches/batchstate.h"
+#include "batches/leasescheduler.h"
 #include "coordination/fleetwatch.h"
 #include "coordination/groupenvironment.h"
 #include "routes/routetable.h"
@@ -138,7 +138,7 @@
   /// The services whose replicas may run the item by the routes in force.
   Services ServicesOf(const ItemRef& item) const;
   LeasedItem Lease(const ItemRef& item, Time now) const;
-  Time DueOf(const BatchBook::Batch& batch, Time now) const;
+  Time DueOf(const BatchState::Batch& batch, Time now) const;
   void GiveUpItemsOfGoneRoutes();
   void ForgetOldBatches(Time now);
 
@@ -147,8 +147,8 @@
   transport::PeerServer*& server;
   MembersChanged members_changed;
   std::function<void(const std::string&)> storage_failed;
-  BatchBook book;
-  LeaseDesk desk;
+  BatchState book;
+  LeaseScheduler desk;
   std::unique_ptr<replication::ReplicatedGroup> group;
   replication::GroupEnvironment environment;
   routes::RouteTablePtr table;
--- a/src/batches/internal/batchbook.cpp
+++ b/src/batches/internal/batchstate.cpp
@@ -1,4 +1,4 @@
-#include "batches/batchbook.h"
+#include "batches/batchstate.h"
 
 #include <algorithm>
 #include <numeric>
@@ -31,11 +31,11 @@
 
 }  // namespace
 
-std::string_view BatchBook::Batch::IdAt(std::uint32_t position) const {
+std::string_view BatchState::Batch::IdAt(std::uint32_t position) const {
   return this->items[position].spec.id;
 }
 
-void BatchBook::Batch::IndexItems() {
+void BatchState::Batch::IndexItems() {
   this->by_id.resize(this->items.size());
   std::iota(this->by_id.begin(), this->by_id.end(), 0U);
   std::ranges::stable_sort(this->by_id, {}, [this](std::uint32_t position) {
@@ -43,7 +43,7 @@
   });
 }
 
-std::optional<std::size_t> BatchBook::Batch::PositionOf(
+std::optional<std::size_t> BatchState::Batch::PositionOf(
     std::string_view id) const {
   const auto found = std::ranges::lower_bound(
       this->by_id, id, {},
@@ -54,7 +54,7 @@
   return *found;
 }
 
-BatchReply BatchBook::Apply(std::string_view command) {
+BatchReply BatchState::Apply(std::string_view command) {
   try {
     const auto decoded = DecodeVariant<BatchCommand>(command);
     return std::visit([this](const auto& body) { return this->Do(body); },
@@ -68,7 +68,7 @@
 
 /// A batch that comes again is accepted again without effect, so that a client
 /// that saw no answer may resend it to any process.
-BatchReply BatchBook::Do(const SubmitBatch& command) {
+BatchReply BatchState::Do(const SubmitBatch& command) {
   if (this->all.count(command.id) > 0) {
     return ReplyWith(ResultCode::kOk);
   }
@@ -92,8 +92,8 @@
   return ReplyWith(ResultCode::kOk);
 }
 
-void BatchBook::List(Batch& batch, Item& item, bool complete,
-                     const std::string& text) {
+void BatchState::List(Batch& batch, Item& item, bool complete,
+                      const std::string& text) {
   item.listed = true;
   item.spec.body = {};
   item.spec.headers.clear();
@@ -111,7 +111,7 @@
 /// whose answer is lost with the leader is sent to the next one, which may hold
 /// the first copy in its log; so each run counts once, however often it is
 /// reported.
-void BatchBook::CountFailure(Item& item, std::uint64_t run) {
+void BatchState::CountFailure(Item& item, std::uint64_t run) {
   const bool counted =
       std::ranges::find(item.failed_runs, run) != item.failed_runs.end();
   if (run != 0 && counted) {
@@ -121,7 +121,7 @@
   ++item.failures;
 }
 
-void BatchBook::TakeOutcome(const ItemOutcome& outcome) {
+void BatchState::TakeOutcome(const ItemOutcome& outcome) {
   const auto found = this->all.find(outcome.batch);
   if (found == this->all.end()) {
     return;
@@ -151,14 +151,14 @@
   }
 }
 
-BatchReply BatchBook::Do(const ReportOutcomes& command) {
+BatchReply BatchState::Do(const ReportOutcomes& command) {
   for (const ItemOutcome& outcome : command.outcomes) {
     this->TakeOutcome(outcome);
   }
   return ReplyWith(ResultCode::kOk);
 }
 
-BatchReply BatchBook::Do(const EndBatch& command) {
+BatchReply BatchState::Do(const EndBatch& command) {
   const auto found = this->all.find(command.id);
   if (found == this->all.end()) {
     return ReplyWith(ResultCode::kNotFound);
@@ -180,7 +180,7 @@
   return ReplyWith(ResultCode::kOk);
 }
 
-BatchReply BatchBook::Do(const ForgetBatches& command) {
+BatchReply BatchState::Do(const ForgetBatches& command) {
   std::erase_if(this->all, [&command](const auto& entry) {
     return entry.second.submitted_ms < command.submitted_before_ms &&
            !entry.second.Open();
@@ -189,7 +189,7 @@
   return ReplyWith(ResultCode::kOk);
 }
 
-std::uint64_t BatchBook::FirstText() const {
+std::uint64_t BatchState::FirstText() const {
   std::uint64_t first = this->texts.length();
   for (const auto& [id, batch] : this->all) {
     for (const Listed& result : batch.results) {
@@ -201,12 +201,12 @@
   return first;
 }
 
-const BatchBook::Batch* BatchBook::Find(const std::string& id) const {
+const BatchState::Batch* BatchState::Find(const std::string& id) const {
   const auto found = this->all.find(id);
   return found != this->all.end() ? &found->second : nullptr;
 }
 
-const BatchBook::Item* BatchBook::FindItem(const ItemRef& ref) const {
+const BatchState::Item* BatchState::FindItem(const ItemRef& ref) const {
   const Batch* batch = this->Find(ref.batch);
   if (batch == nullptr) {
     return nullptr;
@@ -215,13 +215,13 @@
   return position.has_value() ? &batch->items[*position] : nullptr;
 }
 
-bool BatchBook::Waits(const ItemRef& ref) const {
+bool BatchState::Waits(const ItemRef& ref) const {
   const Batch* batch = this->Find(ref.batch);
   const Item* item = this->FindItem(ref);
   return item != nullptr && !item->listed && !batch->ended;
 }
 
-std::vector<ItemRef> BatchBook::WaitingItems() const {
+std::vector<ItemRef> BatchState::WaitingItems() const {
   std::vector<std::pair<std::int64_t, std::string>> order;
   for (const auto& [id, batch] : this->all) {
     if (batch.Open()) {
@@ -240,14 +240,14 @@
   return waiting;
 }
 
-std::uint64_t BatchBook::WaitingTokens(const std::string& route_key) const {
+std::uint64_t BatchState::WaitingTokens(const std::string& route_key) const {
   const auto found = this->waiting_tokens.find(route_key);
   return found != this->waiting_tokens.end() ? found->second : 0;
 }
 
-std::optional<ResultPage> BatchBook::Page(const std::string& id,
-                                          std::uint64_t after,
-                                          std::size_t max_bytes) const {
+std::optional<ResultPage> BatchState::Page(const std::string& id,
+                                           std::uint64_t after,
+                                           std::size_t max_bytes) const {
   const Batch* batch = this->Find(id);
   if (batch == nullptr) {
     return std::nullopt;
@@ -268,13 +268,13 @@
   return page;
 }
 
-std::string BatchBook::Save() const {
+std::string BatchState::Save() const {
   const std::tuple<const decltype(this->all)&, std::uint64_t> saved(
       this->all, this->texts.length());
   return EncodeMessage(saved);
 }
 
-void BatchBook::Load(std::string_view bytes) {
+void BatchState::Load(std::string_view bytes) {
   auto [batches, texts_length] =
       DecodeMessage<std::tuple<decltype(this->all), std::uint64_t>>(bytes);
   this->all = std::move(batches);
@@ -285,7 +285,7 @@
   this->Recount();
 }
 
-std::string BatchBook::Export() const {
+std::string BatchState::Export() const {
   ExportedBook exported;
   exported.state = this->Save();
   exported.first_text = this->FirstText();
@@ -293,13 +293,13 @@
   return EncodeMessage(exported);
 }
 
-std::string BatchBook::Import(std::string_view exported) {
+std::string BatchState::Import(std::string_view exported) {
   auto book = DecodeMessage<ExportedBook>(exported);
   this->texts.Import(book.first_text, book.texts);
   return std::move(book.state);
 }
 
-void BatchBook::Recount() {
+void BatchState::Recount() {
   this->waiting_tokens.clear();
   for (const auto& [id, batch] : this->all) {
     for (const Item& item : batch.items) {
--- a/src/batches/internal/batchstore.cpp
+++ b/src/batches/internal/batchstore.cpp
@@ -48,7 +48,7 @@
       context, kJobGroup, options.address, peers, server, dispatch, this->group,
       std::move(storage_failed));
   this->Register(dispatch);
-  if (consensus::HoldsGroup(files, kJobGroup)) {
+  if (consensus::HasGroup(files, kJobGroup)) {
     this->StartGroup();
   }
   this->Tick();
@@ -128,7 +128,7 @@
     return;
   }
   if (fleet.job_founders.Find(this->options.member) != nullptr) {
-    consensus::FoundGroup(this->files, kJobGroup, fleet.job_founders);
+    consensus::CreateGroup(this->files, kJobGroup, fleet.job_founders);
   }
   this->StartGroup();
 }
@@ -182,8 +182,8 @@
   if (now >= this->next_work) {
     this->next_work = now + kWorkEvery;
     this->desk.Expire(now);
-    this->group->Heal(this->candidates, this->leaving_addresses,
-                      {2 * this->options.losses_borne + 1, 0});
+    this->group->RepairMembership(this->candidates, this->leaving_addresses,
+                                  {2 * this->options.losses_borne + 1, 0});
     std::vector<std::string> addresses;
     for (const consensus::Member& member : this->group->members().members) {
       addresses.push_back(member.address);
@@ -208,7 +208,7 @@
 
 /// By the wall clock, which may differ between leaders by seconds: that changes
 /// the order of items, nothing else.
-Time BatchStore::DueOf(const BatchBook::Batch& batch, Time now) const {
+Time BatchStore::DueOf(const BatchState::Batch& batch, Time now) const {
   const routes::Route* route =
       this->table != nullptr ? this->table->FindKey(batch.route_key) : nullptr;
   const std::chrono::milliseconds allowed =
@@ -307,7 +307,7 @@
 /// again. One that is asked again while the first is on its way waits for that.
 void BatchStore::OnEnd(StreamId stream, const std::string& body) {
   auto command = DecodeMessage<EndBatch>(body);
-  const BatchBook::Batch* batch = this->book.Find(command.id);
+  const BatchState::Batch* batch = this->book.Find(command.id);
   if (batch != nullptr && batch->ended) {
     this->ReplyConfirmed(stream);
     return;
@@ -361,7 +361,7 @@
   reader.until =
       MonotonicNow() + std::chrono::milliseconds(reader.query.wait_ms);
   this->Confirmed(stream, [this, stream, reader] {
-    const BatchBook::Batch* batch = this->book.Find(reader.query.id);
+    const BatchState::Batch* batch = this->book.Find(reader.query.id);
     const bool more_to_come = batch != nullptr && batch->Open() &&
                               batch->results.size() <= reader.query.after;
     if (more_to_come && reader.query.wait_ms > 0) {
@@ -411,7 +411,7 @@
 
 /// Brings readers and leases in line with what was just committed.
 void BatchStore::OnApplied() {
-  const BatchBook::Changes changes = this->book.TakeChanges();
+  const BatchState::Changes changes = this->book.TakeChanges();
   if (this->led_term == 0) {
     return;
   }
@@ -438,11 +438,11 @@
 }
 
 void BatchStore::SyncLeases(const std::string& id, Time now) {
-  const BatchBook::Batch* batch = this->book.Find(id);
+  const BatchState::Batch* batch = this->book.Find(id);
   if (batch == nullptr) {
     return;
   }
-  for (const BatchBook::Item& item : batch->items) {
+  for (const BatchState::Item& item : batch->items) {
     this->SyncLease({id, item.spec.id}, now);
   }
 }
@@ -457,7 +457,7 @@
 }
 
 bool BatchStore::IsFinal(const ItemRef& ref) const {
-  const BatchBook::Item* item = this->book.FindItem(ref);
+  const BatchState::Item* item = this->book.FindItem(ref);
   return item != nullptr && (item->listed || this->book.Find(ref.batch)->ended);
 }
 
@@ -561,8 +561,8 @@
 }
 
 Services BatchStore::ServicesOf(const ItemRef& item) const {
-  const BatchBook::Batch* batch = this->book.Find(item.batch);
-  const BatchBook::Item* found = this->book.FindItem(item);
+  const BatchState::Batch* batch = this->book.Find(item.batch);
+  const BatchState::Item* found = this->book.FindItem(item);
   if (found == nullptr || this->table == nullptr) {
     return {};
   }
@@ -580,7 +580,7 @@
 }
 
 LeasedItem BatchStore::Lease(const ItemRef& item, Time now) const {
-  const BatchBook::Batch* batch = this->book.Find(item.batch);
+  const BatchState::Batch* batch = this->book.Find(item.batch);
   LeasedItem leased;
   leased.batch = item.batch;
   leased.host = batch->host;
@@ -637,7 +637,7 @@
     if (!batch.Open() || this->table->FindKey(batch.route_key) != nullptr) {
       continue;
     }
-    for (const BatchBook::Item& item : batch.items) {
+    for (const BatchState::Item& item : batch.items) {
       if (!item.listed) {
         ItemOutcome outcome;
         outcome.batch = id;
--- a/src/batches/internal/leasedesk.cpp
+++ b/src/batches/internal/leasescheduler.cpp
@@ -1,4 +1,4 @@
-#include "batches/leasedesk.h"
+#include "batches/leasescheduler.h"
 
 #include <algorithm>
 #include <iterator>
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void LeaseDesk::Reset(Time now) {
+void LeaseScheduler::Reset(Time now) {
   this->queues.clear();
   this->queue_ids.clear();
   this->known.clear();
@@ -22,11 +22,11 @@
   this->settled = now + kSettleTime;
 }
 
-bool LeaseDesk::Queue::Serves(const std::string& service) const {
+bool LeaseScheduler::Queue::Serves(const std::string& service) const {
   return std::ranges::binary_search(this->services, service);
 }
 
-LeaseDesk::QueueId LeaseDesk::QueueFor(const Services& services) {
+LeaseScheduler::QueueId LeaseScheduler::QueueFor(const Services& services) {
   const auto [entry, added] =
       this->queue_ids.try_emplace(services, this->queues.size());
   if (added) {
@@ -35,7 +35,7 @@
   return entry->second;
 }
 
-void LeaseDesk::MoveTo(QueueId queue, const ItemRef& item, Known& entry) {
+void LeaseScheduler::MoveTo(QueueId queue, const ItemRef& item, Known& entry) {
   if (queue == entry.queue) {
     return;
   }
@@ -46,7 +46,8 @@
   entry.queue = queue;
 }
 
-void LeaseDesk::Add(const ItemRef& item, Time due, const Services& services) {
+void LeaseScheduler::Add(const ItemRef& item, Time due,
+                         const Services& services) {
   const auto [entry, added] = this->known.try_emplace(item);
   if (added) {
     entry->second.queue = this->QueueFor(services);
@@ -57,9 +58,9 @@
   }
 }
 
-std::vector<ItemRef> LeaseDesk::FirstOf(const std::string& service,
-                                        std::size_t most, Time soonest,
-                                        bool in_time) const {
+std::vector<ItemRef> LeaseScheduler::FirstOf(const std::string& service,
+                                             std::size_t most, Time soonest,
+                                             bool in_time) const {
   std::vector<Place> places;
   for (const Queue& queue : this->queues) {
     if (!queue.Serves(service)) {
@@ -82,9 +83,9 @@
   return first;
 }
 
-std::vector<ItemRef> LeaseDesk::Take(const std::string& gate,
-                                     const std::string& service,
-                                     std::size_t room, Time now) {
+std::vector<ItemRef> LeaseScheduler::Take(const std::string& gate,
+                                          const std::string& service,
+                                          std::size_t room, Time now) {
   std::vector<ItemRef> taken;
   if (!this->Settled(now)) {
     return taken;
@@ -99,13 +100,13 @@
   return taken;
 }
 
-bool LeaseDesk::WaitsFor(const std::string& service) const {
+bool LeaseScheduler::WaitsFor(const std::string& service) const {
   return std::ranges::any_of(this->queues, [&service](const Queue& queue) {
     return !queue.waiting.empty() && queue.Serves(service);
   });
 }
 
-std::size_t LeaseDesk::Waiting() const {
+std::size_t LeaseScheduler::Waiting() const {
   std::size_t sum = 0;
   for (const Queue& queue : this->queues) {
     sum += queue.waiting.size();
@@ -113,7 +114,7 @@
   return sum;
 }
 
-void LeaseDesk::Remove(const ItemRef& item, Time now) {
+void LeaseScheduler::Remove(const ItemRef& item, Time now) {
   const auto found = this->known.find(item);
   if (found == this->known.end()) {
     return;
@@ -131,7 +132,8 @@
   this->known.erase(found);
 }
 
-void LeaseDesk::Lease(const ItemRef& item, const std::string& gate, Time now) {
+void LeaseScheduler::Lease(const ItemRef& item, const std::string& gate,
+                           Time now) {
   Known& entry = this->known.at(item);
   this->queues[entry.queue].waiting.erase(PlaceOf(item, entry));
   entry.holder = gate;
@@ -139,13 +141,13 @@
   entry.leased = entry.leased == Time{} ? now : entry.leased;
 }
 
-void LeaseDesk::PutBack(const ItemRef& item) {
+void LeaseScheduler::PutBack(const ItemRef& item) {
   Known& entry = this->known.at(item);
   this->EndHold(item, entry);
   this->queues[entry.queue].waiting.insert(PlaceOf(item, entry));
 }
 
-void LeaseDesk::EndHold(const ItemRef& item, Known& entry) {
+void LeaseScheduler::EndHold(const ItemRef& item, Known& entry) {
   const auto of_gate = this->held.find(entry.holder);
   of_gate->second.erase(item);
   if (of_gate->second.empty()) {
@@ -154,8 +156,8 @@
   entry.holder.clear();
 }
 
-void LeaseDesk::PutBackAllOf(const std::string& gate,
-                             const std::set<ItemRef>& still_held) {
+void LeaseScheduler::PutBackAllOf(const std::string& gate,
+                                  const std::set<ItemRef>& still_held) {
   const auto of_gate = this->held.find(gate);
   if (of_gate == this->held.end()) {
     return;
@@ -170,8 +172,8 @@
   }
 }
 
-void LeaseDesk::Renew(const std::string& gate, std::uint64_t incarnation,
-                      const std::vector<ItemRef>& holding, Time now) {
+void LeaseScheduler::Renew(const std::string& gate, std::uint64_t incarnation,
+                           const std::vector<ItemRef>& holding, Time now) {
   this->gates[gate] = {incarnation, now};
   this->PutBackAllOf(gate, {holding.begin(), holding.end()});
   for (const ItemRef& item : holding) {
@@ -182,7 +184,8 @@
   }
 }
 
-void LeaseDesk::Return(const std::string& gate, const ReturnedItem& returned) {
+void LeaseScheduler::Return(const std::string& gate,
+                            const ReturnedItem& returned) {
   const auto found = this->known.find(returned.item);
   if (found == this->known.end()) {
     return;
@@ -199,7 +202,7 @@
   }
 }
 
-void LeaseDesk::Expire(Time now) {
+void LeaseScheduler::Expire(Time now) {
   std::vector<std::string> silent;
   for (const auto& [name, gate] : this->gates) {
     if (now - gate.heard > kLeaseTime) {
@@ -212,7 +215,7 @@
   }
 }
 
-std::vector<ItemRef> LeaseDesk::ToStop(
+std::vector<ItemRef> LeaseScheduler::ToStop(
     const std::vector<ItemRef>& holding) const {
   std::vector<ItemRef> stop;
   for (const ItemRef& item : holding) {
@@ -223,7 +226,7 @@
   return stop;
 }
 
-PartialText LeaseDesk::PartialOf(const ItemRef& item) const {
+PartialText LeaseScheduler::PartialOf(const ItemRef& item) const {
   const auto found = this->known.find(item);
   return found != this->known.end() ? found->second.partial : PartialText{};
 }
--- a/src/batches/leasedesk.h
+++ b/src/batches/leasescheduler.h
@@ -1,5 +1,5 @@
-#ifndef PAPAYARACK_BATCHES_LEASEDESK_H_
-#define PAPAYARACK_BATCHES_LEASEDESK_H_
+#ifndef PAPAYARACK_BATCHES_LEASESCHEDULER_H_
+#define PAPAYARACK_BATCHES_LEASESCHEDULER_H_
 
 #include <cstdint>
 #include <map>
@@ -26,7 +26,7 @@
 /// after it was due. Items that can still be in time go first, the earliest due
 /// of them first; those that cannot any more wait for spare room, and are run
 /// then. Thread safety: none.
-class LeaseDesk {
+class LeaseScheduler {
  public:
   /// A gate silent for this long lost its items: one hold of a pull (1 s) and a
   /// reconnection.
@@ -131,4 +131,4 @@
 
 }  // namespace papayarack::batches
 
-#endif  // PAPAYARACK_BATCHES_LEASEDESK_H_
+#endif  // PAPAYARACK_BATCHES_LEASESCHEDULER_H_
--- a/src/batches/tests/batches_tests.cpp
+++ b/src/batches/tests/batches_tests.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
-#include "batches/batchbook.h"
-#include "batches/leasedesk.h"
+#include "batches/batchstate.h"
+#include "batches/leasescheduler.h"
 #include "global/tests/processortime.h"
 #include "global/variantcodec.h"
 #include "storage/memoryfilesystem.h"
@@ -23,7 +23,7 @@
   return batch;
 }
 
-ResultCode Apply(BatchBook& book, const BatchCommand& command) {
+ResultCode Apply(BatchState& book, const BatchCommand& command) {
   return static_cast<ResultCode>(book.Apply(EncodeVariant(command)).code);
 }
 
@@ -42,7 +42,7 @@
 
 TEST_CASE("a batch is accepted once and its results never change") {
   storage::MemoryFileSystem files;
-  BatchBook book(files);
+  BatchState book(files);
   REQUIRE(Apply(book, MakeBatch("b", 3)) == ResultCode::kOk);
   CHECK(Apply(book, MakeBatch("b", 3)) == ResultCode::kOk);
   CHECK(book.WaitingItems().size() == 3);
@@ -84,7 +84,7 @@
       const std::string saved = book.Save();
       book.ArchiveTexts()();
       book.TextsArchived();
-      BatchBook restored(files);
+      BatchState restored(files);
       restored.Load(saved);
       Apply(restored, ReportOutcomes{{second}});
       CHECK(restored.Waits({"b", "i0"}));
@@ -106,7 +106,7 @@
     book.ArchiveTexts()();
     book.TextsArchived();
     CHECK(book.Page("b", 0, 1000)->results.front().text == "text");
-    BatchBook restored(files);
+    BatchState restored(files);
     restored.Load(saved);
     CHECK(restored.WaitingItems().size() == 2);
     CHECK(restored.WaitingTokens("h/r/") == 200);
@@ -119,7 +119,7 @@
 // disk's content, and one that has a part of it, take the whole state.
 TEST_CASE("another member takes over the batches with all texts") {
   storage::MemoryFileSystem files;
-  BatchBook book(files);
+  BatchState book(files);
   Apply(book, MakeBatch("b", 3));
   Apply(book, ReportOutcomes{{Ended("i1", ItemEnd::kComplete, "first")}});
   const std::string early = book.Export();
@@ -128,7 +128,7 @@
   Apply(book, ReportOutcomes{{Ended("i0", ItemEnd::kComplete, "second")}});
   Apply(book, ReportOutcomes{{Ended("i2", ItemEnd::kGivenUp)}});
   storage::MemoryFileSystem other_files;
-  BatchBook other(other_files);
+  BatchState other(other_files);
   const auto takes_all = [&] {
     const std::string saved = other.Import(book.Export());
     other.Load(saved);
@@ -153,7 +153,7 @@
     const std::string saved = other.Save();
     other.ArchiveTexts()();
     other.TextsArchived();
-    BatchBook restarted(other_files);
+    BatchState restarted(other_files);
     restarted.Load(saved);
     CHECK(restarted.Page("c", 0, 1000)->results.front().text == "third");
     CHECK(restarted.Page("b", 1, 1000)->results.front().text == "second");
@@ -162,7 +162,7 @@
 
 TEST_CASE("the tokens that wait on a route are bounded over all processes") {
   storage::MemoryFileSystem files;
-  BatchBook book(files);
+  BatchState book(files);
   REQUIRE(Apply(book, MakeBatch("b", 3, 500)) == ResultCode::kOk);
   CHECK(Apply(book, MakeBatch("c", 3, 500)) == ResultCode::kOverloaded);
   CHECK(book.Find("c") == nullptr);
@@ -171,7 +171,7 @@
 }
 
 TEST_CASE("items are leased to gates") {
-  LeaseDesk desk;
+  LeaseScheduler desk;
   const ItemRef one{"b", "1"};
   const ItemRef two{"b", "2"};
   desk.Reset(At(0));
@@ -244,7 +244,7 @@
   constexpr int kRenewals = 500;
   constexpr int kNoisyClock = 10;
   const auto cost_beside = [&](int waiting) {
-    LeaseDesk desk;
+    LeaseScheduler desk;
     desk.Reset(At(0));
     for (int i = 0; i < waiting; ++i) {
       desk.Add({"b", std::to_string(i)}, At(18000), {kService});
@@ -269,7 +269,7 @@
   constexpr int kNoisyClock = 10;
   const auto cost_in = [&](int items) {
     storage::MemoryFileSystem files;
-    BatchBook book(files);
+    BatchState book(files);
     Apply(book, MakeBatch("b", items));
     book.TakeChanges();
     std::vector<ItemRef> changed;
@@ -278,7 +278,7 @@
         const std::string item = "i" + std::to_string(i);
         Apply(book, ReportOutcomes{{Ended(item, ItemEnd::kComplete, "text")}});
         CHECK_FALSE(book.Waits({"b", item}));
-        const BatchBook::Changes changes = book.TakeChanges();
+        const BatchState::Changes changes = book.TakeChanges();
         CHECK(changes.batches.empty());
         std::ranges::copy(changes.items, std::back_inserter(changed));
       }
@@ -293,7 +293,7 @@
 // Guards against callers of one service who wait behind items of another, which
 // nobody can run at the moment.
 TEST_CASE("items are handed out by the services that may run them") {
-  LeaseDesk desk;
+  LeaseScheduler desk;
   desk.Reset(At(0));
   desk.Add({"b", "other"}, At(9000), {"other"});
   desk.Add({"b", "own"}, At(18000), {kService});
@@ -331,7 +331,7 @@
   constexpr int kPulls = 500;
   constexpr int kNoisyClock = 10;
   const auto cost_beside = [&](int waiting) {
-    LeaseDesk desk;
+    LeaseScheduler desk;
     desk.Reset(At(0));
     for (int i = 0; i < waiting; ++i) {
       desk.Add({"b", std::to_string(i)}, At(18000), {"other"});
@@ -356,7 +356,7 @@
   constexpr int kRunMs = 5000;
   constexpr int kAllowedMs = 18000;
   constexpr int kSlots = 10;
-  LeaseDesk desk;
+  LeaseScheduler desk;
   desk.Reset(At(0));
   const int start = 2000;
   std::map<ItemRef, int> due;
@@ -397,7 +397,7 @@
 
 // Load: a late item and one that can be in time wait for the same slot.
 TEST_CASE("an item that can be in time goes before a late one") {
-  LeaseDesk desk;
+  LeaseScheduler desk;
   desk.Reset(At(0));
   desk.Add({"b", "late"}, At(3000), {kService});
   desk.Add({"b", "fresh"}, At(20000), {kService});
--- a/src/batches/tests/storemember.h
+++ b/src/batches/tests/storemember.h
@@ -40,8 +40,8 @@
   }
 
   void Start(const consensus::MemberList& founders) {
-    consensus::FoundGroup(this->files, coordination::kJobGroup, founders);
-    consensus::IdentifyFolder(this->files, {this->id, "test"});
+    consensus::CreateGroup(this->files, coordination::kJobGroup, founders);
+    consensus::WriteIdentity(this->files, {this->id, "test"});
     BatchStoreOptions options;
     options.member = this->id;
     options.address = this->Address();
--- a/src/consensus/durablelog.h
+++ b/src/consensus/durablelog.h
@@ -29,15 +29,15 @@
 
 /// Writes the identity of a folder that holds no group yet. Throws
 /// ResultError(kConflict) when it has one.
-void IdentifyFolder(storage::FileSystem& files, const FolderIdentity& identity);
+void WriteIdentity(storage::FileSystem& files, const FolderIdentity& identity);
 
 /// Makes a group with these first members; only for a group that never existed.
 /// Throws ResultError(kConflict) when the folder already holds it.
-void FoundGroup(storage::FileSystem& files, GroupId group,
-                const MemberList& first_members);
+void CreateGroup(storage::FileSystem& files, GroupId group,
+                 const MemberList& first_members);
 
 /// Whether the folder holds state of the group.
-bool HoldsGroup(const storage::FileSystem& files, GroupId group);
+bool HasGroup(const storage::FileSystem& files, GroupId group);
 
 /// The identity, or nothing when the folder was never formatted.
 std::optional<FolderIdentity> ReadIdentity(const storage::FileSystem& files);
--- a/src/consensus/internal/durablelog.cpp
+++ b/src/consensus/internal/durablelog.cpp
@@ -41,27 +41,26 @@
                       "the folder is not empty and has no identity");
   }
   for (GroupId group = 0; group < groups; ++group) {
-    FoundGroup(files, group, first_members);
+    CreateGroup(files, group, first_members);
   }
-  IdentifyFolder(files, identity);
+  WriteIdentity(files, identity);
 }
 
-void IdentifyFolder(storage::FileSystem& files,
-                    const FolderIdentity& identity) {
+void WriteIdentity(storage::FileSystem& files, const FolderIdentity& identity) {
   if (ReadIdentity(files).has_value()) {
     throw ResultError(ResultCode::kConflict, "the folder already has an owner");
   }
   storage::WriteCheckedFile(files, kIdentityFile, EncodeMessage(identity));
 }
 
-bool HoldsGroup(const storage::FileSystem& files, GroupId group) {
+bool HasGroup(const storage::FileSystem& files, GroupId group) {
   return files.Exists(SnapshotFile(group)) ||
          files.Exists(HardStateFile(group));
 }
 
-void FoundGroup(storage::FileSystem& files, GroupId group,
-                const MemberList& first_members) {
-  if (HoldsGroup(files, group)) {
+void CreateGroup(storage::FileSystem& files, GroupId group,
+                 const MemberList& first_members) {
+  if (HasGroup(files, group)) {
     throw ResultError(ResultCode::kConflict,
                       "the folder already holds this group");
   }
--- a/src/consensus/internal/raftcore.cpp
+++ b/src/consensus/internal/raftcore.cpp
@@ -456,7 +456,7 @@
   this->ready.entries.push_back(std::move(entry));
 }
 
-ProposalPlace RaftCore::Propose(std::string payload) {
+ProposalPosition RaftCore::Propose(std::string payload) {
   if (this->current_role != RaftRole::kLeader || this->transfer_to != 0) {
     throw ResultError(ResultCode::kNotLeader,
                       "this member does not lead the group");
@@ -470,16 +470,17 @@
   return {this->raft_log.LastIndex(), this->hard.term};
 }
 
-ProposalPlace RaftCore::ProposeMembers(const MemberList& members) {
+ProposalPosition RaftCore::ProposeMembers(const MemberList& members) {
   if (CountDifferences(this->member_list, members) != 1) {
     throw ResultError(ResultCode::kConflict, "change one member at a time");
   }
   return this->AppendMembers(members);
 }
 
-ProposalPlace RaftCore::ProposeReplacement(MemberId lost, MemberId heir) {
+ProposalPosition RaftCore::ProposeReplacement(MemberId lost,
+                                              MemberId replacement) {
   if (lost == this->options.self || this->member_list.Find(lost) == nullptr ||
-      this->member_list.Find(heir) == nullptr) {
+      this->member_list.Find(replacement) == nullptr) {
     throw ResultError(ResultCode::kConflict,
                       "a replacement needs a lost member and a learner");
   }
@@ -487,7 +488,7 @@
   std::erase_if(members.members,
                 [lost](const Member& member) { return member.id == lost; });
   for (Member& member : members.members) {
-    member.voter = member.voter || member.id == heir;
+    member.voter = member.voter || member.id == replacement;
   }
   return this->AppendMembers(members);
 }
@@ -509,7 +510,7 @@
   }
 }
 
-ProposalPlace RaftCore::AppendMembers(const MemberList& members) {
+ProposalPosition RaftCore::AppendMembers(const MemberList& members) {
   if (!this->LeaderReady() || this->transfer_to != 0) {
     throw ResultError(ResultCode::kNotLeader,
                       "this member does not lead the group");
--- a/src/consensus/raftcore.h
+++ b/src/consensus/raftcore.h
@@ -84,7 +84,7 @@
 
 /// Where a proposal stands in the log; it is lost when another term takes that
 /// index.
-struct ProposalPlace {
+struct ProposalPosition {
   Index index = 0;
   Term term = 0;
 };
@@ -106,17 +106,17 @@
   void Step(const RaftMessage& message, Time now);
   /// Adds a command. Throws ResultError(kNotLeader, kOverloaded); nothing was
   /// added then.
-  ProposalPlace Propose(std::string payload);
+  ProposalPosition Propose(std::string payload);
   /// Changes the members by one. Throws ResultError(kNotLeader) or
   /// ResultError(kConflict) when a change is under way, more than one member
   /// differs, or a learner is not caught up.
-  ProposalPlace ProposeMembers(const MemberList& members);
+  ProposalPosition ProposeMembers(const MemberList& members);
   /// Gives the vote of `lost`, whose disk is gone for good, to the learner
   /// `heir` in one change. Precondition: `lost` can never vote again; another
   /// identity reporting from its address proves that. Then any majority of the
   /// old voters and any of the new ones share a member, although two members
   /// differ. Throws like ProposeMembers.
-  ProposalPlace ProposeReplacement(MemberId lost, MemberId heir);
+  ProposalPosition ProposeReplacement(MemberId lost, MemberId replacement);
   /// Asks that a read be confirmed by a quorum; the answer comes in a later
   /// Ready.
   void RequestRead(std::uint64_t token, Time now);
@@ -213,7 +213,7 @@
   void FailReads();
   void RefreshMembers();
   void CheckPromotions(const MemberList& members) const;
-  ProposalPlace AppendMembers(const MemberList& members);
+  ProposalPosition AppendMembers(const MemberList& members);
   void Truncate(Index from);
 
   void OnVoteRequest(const RaftMessage& message, const VoteRequest& request);
--- a/src/consensus/tests/raftcluster.h
+++ b/src/consensus/tests/raftcluster.h
@@ -230,7 +230,7 @@
       return false;
     }
     try {
-      const ProposalPlace place = node.core->Propose(payload);
+      const ProposalPosition place = node.core->Propose(payload);
       this->proposed[{id, place.index, place.term}] = payload;
     } catch (const ResultError&) {
       return false;
--- a/src/control/internal/groupmember.cpp
+++ b/src/control/internal/groupmember.cpp
@@ -133,7 +133,7 @@
     return;
   }
   try {
-    const consensus::ProposalPlace place =
+    const consensus::ProposalPosition place =
         this->core->Propose(EncodeVariant(command));
     this->waiting.insert({place.index, {token, place.term}});
   } catch (const ResultError& error) {
@@ -178,7 +178,7 @@
         return member.id == change.id;
       });
     }
-    const consensus::ProposalPlace place = this->core->ProposeMembers(list);
+    const consensus::ProposalPosition place = this->core->ProposeMembers(list);
     this->waiting.insert({place.index, {token, place.term}});
   } catch (const ResultError& error) {
     this->Refuse(token, error.result().code, error.what());
@@ -228,7 +228,7 @@
   if (!ready.before_sync.empty()) {
     this->handlers.send(ready.before_sync);
   }
-  this->writer->Offer(ready);
+  this->writer->Enqueue(ready);
   try {
     for (const consensus::Entry& entry : ready.committed) {
       this->Apply(entry);
@@ -296,8 +296,8 @@
   meta.blob_length = this->blob_store.length();
   this->snapshot_under_way = true;
   this->bytes_since_snapshot = 0;
-  this->writer->OfferSnapshot(std::move(meta), this->machine.Save(),
-                              this->blob_store.TakeDirtyFiles());
+  this->writer->EnqueueSnapshot(std::move(meta), this->machine.Save(),
+                                this->blob_store.TakeDirtyFiles());
 }
 
 void GroupMember::SnapshotSaved(const consensus::SnapshotMeta& meta) {
--- a/src/coordination/internal/coordinator.cpp
+++ b/src/coordination/internal/coordinator.cpp
@@ -175,7 +175,7 @@
     }
     this->plan.ForgetSilent(now);
     this->quarantine.Judge(now);
-    this->group->Heal(
+    this->group->RepairMembership(
         CoordinationCandidates(this->nodes.WithRole(NodeRole::kEntry),
                                this->options.has_disk),
         {}, {2 * this->options.losses_borne + 1, kMostCoordinators});
--- a/src/coordination/tests/coordination_tests.cpp
+++ b/src/coordination/tests/coordination_tests.cpp
@@ -376,7 +376,7 @@
 struct StateGiver {
   StateGiver() {
     this->Listen(0);
-    consensus::FoundGroup(this->files, 0, {{{1, "a:1", true}}});
+    consensus::CreateGroup(this->files, 0, {{{1, "a:1", true}}});
     auto environment =
         MakeGroupEnvironment(this->context, 0, "a:1", this->peers, this->server,
                              this->dispatch, this->group, {});
@@ -455,7 +455,7 @@
   server = &owned;
   transport::PeerClient peers(context);
   storage::MemoryFileSystem files;
-  consensus::FoundGroup(files, 0, {{{1, "a:1", true}}});
+  consensus::CreateGroup(files, 0, {{{1, "a:1", true}}});
   std::unique_ptr<replication::ReplicatedGroup> group;
   auto environment = MakeGroupEnvironment(context, 0, "a:1", peers, server,
                                           dispatch, group, {});
--- a/src/coordination/tests/groupmembers.h
+++ b/src/coordination/tests/groupmembers.h
@@ -72,8 +72,8 @@
 
   void Found(asio::io_context& context, const consensus::MemberList& members,
              ListEngines list) {
-    consensus::FoundGroup(this->files, kCoordinationGroup, members);
-    consensus::IdentifyFolder(this->files, {this->id, "test"});
+    consensus::CreateGroup(this->files, kCoordinationGroup, members);
+    consensus::WriteIdentity(this->files, {this->id, "test"});
     CoordinatorOptions options;
     options.member = this->id;
     options.has_disk = true;
--- a/src/coordination/tests/largeconfiguration_tests.cpp
+++ b/src/coordination/tests/largeconfiguration_tests.cpp
@@ -138,9 +138,9 @@
         peers(this->context) {
     this->server = &this->server_owned;
     constexpr consensus::MemberId kMember = 1;
-    consensus::FoundGroup(this->files, kCoordinationGroup,
-                          {{{kMember, this->link.Address(), true}}});
-    consensus::IdentifyFolder(this->files, {kMember, "test"});
+    consensus::CreateGroup(this->files, kCoordinationGroup,
+                           {{{kMember, this->link.Address(), true}}});
+    consensus::WriteIdentity(this->files, {kMember, "test"});
     CoordinatorOptions options;
     options.member = kMember;
     options.has_disk = true;
--- a/src/nodes/internal/noderuntime.cpp
+++ b/src/nodes/internal/noderuntime.cpp
@@ -134,11 +134,11 @@
     for (const std::string& seed : seeds) {
       members.members.push_back({FounderIdentity(seed), seed, true});
     }
-    consensus::FoundGroup(*this->files, coordination::kCoordinationGroup,
-                          members);
+    consensus::CreateGroup(*this->files, coordination::kCoordinationGroup,
+                           members);
   }
   // Last: a folder without an identity is emptied at the next start.
-  consensus::IdentifyFolder(*this->files, {this->member, kCluster});
+  consensus::WriteIdentity(*this->files, {this->member, kCluster});
   Log(LogLevel::kInfo, "folder_identified",
       {{"member", this->member}, {"founder", founder}});
 }
--- a/src/replication/internal/logwriter.cpp
+++ b/src/replication/internal/logwriter.cpp
@@ -24,7 +24,7 @@
   this->thread.join();
 }
 
-bool LogWriter::Offer(consensus::RaftReady& ready) {
+bool LogWriter::Enqueue(consensus::RaftReady& ready) {
   if (!ready.NeedsSync() && ready.after_sync.empty()) {
     return true;
   }
@@ -34,9 +34,9 @@
   return this->ring.Push(std::move(batch));
 }
 
-bool LogWriter::OfferSnapshot(consensus::SnapshotMeta meta, std::string state,
-                              std::vector<std::string> blob_files,
-                              std::function<void()> write_files) {
+bool LogWriter::EnqueueSnapshot(consensus::SnapshotMeta meta, std::string state,
+                                std::vector<std::string> blob_files,
+                                std::function<void()> write_files) {
   ++this->offered;
   return this->ring.Push(SnapshotWork{std::move(meta), std::move(state),
                                       std::move(blob_files),
--- a/src/replication/internal/membershipplanner.cpp
+++ b/src/replication/internal/membershipplanner.cpp
@@ -16,11 +16,12 @@
 }
 
 /// The voter whose address a newer identity now reports from, if any.
-const MemberHealth* PredecessorOf(Members members, const MemberHealth& heir) {
+const MemberHealth* PredecessorOf(Members members,
+                                  const MemberHealth& replacement) {
   const auto found =
-      std::ranges::find_if(members, [&heir](const MemberHealth& member) {
-        return member.voter && member.id != heir.id &&
-               member.address == heir.address;
+      std::ranges::find_if(members, [&replacement](const MemberHealth& member) {
+        return member.voter && member.id != replacement.id &&
+               member.address == replacement.address;
       });
   return found != members.end() ? &*found : nullptr;
 }
@@ -47,7 +48,7 @@
       continue;
     }
     if (const MemberHealth* lost = PredecessorOf(members, learner)) {
-      return ReplaceLost{lost->id, learner.id};
+      return ReplaceLostVoter{lost->id, learner.id};
     }
     if (WantsVoter(members, size)) {
       return PromoteLearner{learner.id};
--- a/src/replication/internal/replicatedgroup.cpp
+++ b/src/replication/internal/replicatedgroup.cpp
@@ -159,7 +159,7 @@
 
 void ReplicatedGroup::Propose(std::string command, ProposeDone done) {
   try {
-    const consensus::ProposalPlace place =
+    const consensus::ProposalPosition place =
         this->core->Propose(std::move(command));
     this->waiting[place.index] = {place.term, std::move(done)};
   } catch (const ResultError& error) {
@@ -212,7 +212,7 @@
            !ready.after_sync.empty() || !ready.committed.empty() ||
            !ready.reads_ready.empty() || !ready.reads_failed.empty();
     this->SendAll(ready.before_sync);
-    this->writer->Offer(ready);
+    this->writer->Enqueue(ready);
     for (const consensus::Entry& entry : ready.committed) {
       this->Apply(entry);
     }
@@ -320,8 +320,8 @@
        {"state_bytes", saved.bytes.size()},
        {"log_bytes", this->core->log().Bytes()}});
   this->snapshot_saved = std::move(saved.saved);
-  this->writer->OfferSnapshot(std::move(meta), std::move(saved.bytes), {},
-                              std::move(saved.write_files));
+  this->writer->EnqueueSnapshot(std::move(meta), std::move(saved.bytes), {},
+                                std::move(saved.write_files));
 }
 
 std::string ReplicatedGroup::ExportState() const {
@@ -403,9 +403,9 @@
   return health;
 }
 
-void ReplicatedGroup::Heal(std::span<const Candidate> candidates,
-                           std::span<const std::string> leaving_addresses,
-                           const GroupSize& size) {
+void ReplicatedGroup::RepairMembership(
+    std::span<const Candidate> candidates,
+    std::span<const std::string> leaving_addresses, const GroupSize& size) {
   if (!this->core->LeaderReady()) {
     return;
   }
@@ -424,40 +424,40 @@
 void ReplicatedGroup::Carry(const MembershipChange& change) {
   consensus::MemberList list = this->core->members();
   std::visit(
-      Overloaded{[](const NoChange&) {},
-                 [&](const AddLearner& add) {
-                   list.members.push_back({add.id, add.address, false});
-                   this->core->ProposeMembers(list);
-                   Log(LogLevel::kInfo, "group_learner_added",
-                       {{"group", this->options.group},
-                        {"member", add.id},
-                        {"address", add.address}});
-                 },
-                 [&](const PromoteLearner& promote) {
-                   for (consensus::Member& member : list.members) {
-                     member.voter = member.voter || member.id == promote.id;
-                   }
-                   this->core->ProposeMembers(list);
-                   Log(LogLevel::kInfo, "group_learner_votes",
-                       {{"group", this->options.group},
-                        {"member", promote.id}});
-                 },
-                 [&](const ReplaceLost& replace) {
-                   this->core->ProposeReplacement(replace.lost, replace.heir);
-                   Log(LogLevel::kInfo, "group_member_replaced",
-                       {{"group", this->options.group},
-                        {"lost", replace.lost},
-                        {"heir", replace.heir}});
-                 },
-                 [&](const RemoveMember& remove) {
-                   std::erase_if(list.members,
-                                 [&remove](const consensus::Member& member) {
-                                   return member.id == remove.id;
-                                 });
-                   this->core->ProposeMembers(list);
-                   Log(LogLevel::kInfo, "group_member_removed",
-                       {{"group", this->options.group}, {"member", remove.id}});
-                 }},
+      Overloaded{
+          [](const NoChange&) {},
+          [&](const AddLearner& add) {
+            list.members.push_back({add.id, add.address, false});
+            this->core->ProposeMembers(list);
+            Log(LogLevel::kInfo, "group_learner_added",
+                {{"group", this->options.group},
+                 {"member", add.id},
+                 {"address", add.address}});
+          },
+          [&](const PromoteLearner& promote) {
+            for (consensus::Member& member : list.members) {
+              member.voter = member.voter || member.id == promote.id;
+            }
+            this->core->ProposeMembers(list);
+            Log(LogLevel::kInfo, "group_learner_votes",
+                {{"group", this->options.group}, {"member", promote.id}});
+          },
+          [&](const ReplaceLostVoter& replace) {
+            this->core->ProposeReplacement(replace.lost, replace.replacement);
+            Log(LogLevel::kInfo, "group_member_replaced",
+                {{"group", this->options.group},
+                 {"lost", replace.lost},
+                 {"heir", replace.replacement}});
+          },
+          [&](const RemoveMember& remove) {
+            std::erase_if(list.members,
+                          [&remove](const consensus::Member& member) {
+                            return member.id == remove.id;
+                          });
+            this->core->ProposeMembers(list);
+            Log(LogLevel::kInfo, "group_member_removed",
+                {{"group", this->options.group}, {"member", remove.id}});
+          }},
       change);
 }
 
--- a/src/replication/logwriter.h
+++ b/src/replication/logwriter.h
@@ -38,12 +38,12 @@
 
   /// False when the ring is full: the caller keeps the batch and offers it
   /// again.
-  bool Offer(consensus::RaftReady& ready);
+  bool Enqueue(consensus::RaftReady& ready);
   /// Saves a snapshot in the background, after syncing the blob files named and
   /// calling `write_files`.
-  bool OfferSnapshot(consensus::SnapshotMeta meta, std::string state,
-                     std::vector<std::string> blob_files,
-                     std::function<void()> write_files = {});
+  bool EnqueueSnapshot(consensus::SnapshotMeta meta, std::string state,
+                       std::vector<std::string> blob_files,
+                       std::function<void()> write_files = {});
   /// What was offered and is not finished.
   std::uint64_t Waiting() const { return this->offered - this->finished; }
   /// Waits until everything offered is written. Only for installing a fetched
--- a/src/replication/membershipplanner.h
+++ b/src/replication/membershipplanner.h
@@ -46,15 +46,15 @@
   consensus::MemberId id = 0;
 };
 /// The member at this address lost its disk and came back as `heir`.
-struct ReplaceLost {
+struct ReplaceLostVoter {
   consensus::MemberId lost = 0;
-  consensus::MemberId heir = 0;
+  consensus::MemberId replacement = 0;
 };
 struct RemoveMember {
   consensus::MemberId id = 0;
 };
 using MembershipChange = std::variant<NoChange, AddLearner, PromoteLearner,
-                                      ReplaceLost, RemoveMember>;
+                                      ReplaceLostVoter, RemoveMember>;
 
 /// A member that was silent for this long is treated as dead. Longer than two
 /// elections (0.6 to 1.2 s each), shorter than the shortest time in which a
--- a/src/replication/replicatedgroup.h
+++ b/src/replication/replicatedgroup.h
@@ -103,9 +103,9 @@
   /// under way share the next one.
   void Read(ReadDone done);
   /// Heals the group where this member leads; call every 100 ms or so.
-  void Heal(std::span<const Candidate> candidates,
-            std::span<const std::string> leaving_addresses,
-            const GroupSize& size);
+  void RepairMembership(std::span<const Candidate> candidates,
+                        std::span<const std::string> leaving_addresses,
+                        const GroupSize& size);
   /// Hands leadership on before a graceful stop.
   void HandOver();
   /// This member's whole state, for a member that lags too far behind.
--- a/src/replication/tests/membershipplanner_tests.cpp
+++ b/src/replication/tests/membershipplanner_tests.cpp
@@ -47,9 +47,9 @@
   Expect<NoChange>(PlanMembership(members, candidates, kThree, 1));
   members.back().caught_up = true;
   const auto change =
-      Expect<ReplaceLost>(PlanMembership(members, candidates, kThree, 1));
+      Expect<ReplaceLostVoter>(PlanMembership(members, candidates, kThree, 1));
   CHECK(change.lost == 3);
-  CHECK(change.heir == 9);
+  CHECK(change.replacement == 9);
 }
 
 TEST_CASE("a VM that is gone is replaced by another and then removed") {
--- a/src/replication/tests/replicatedgroup_tests.cpp
+++ b/src/replication/tests/replicatedgroup_tests.cpp
@@ -55,7 +55,7 @@
     slot = std::make_unique<Node>();
     Node& node = *slot;
     if (!founders.members.empty()) {
-      consensus::FoundGroup(node.files, 0, founders);
+      consensus::CreateGroup(node.files, 0, founders);
     }
     consensus::RaftOptions options;
     options.self = id;
@@ -202,7 +202,7 @@
     CHECK(cluster.RunUntil([&] {
       Cluster::Node* leader = cluster.Leader();
       if (leader != nullptr) {
-        leader->group->Heal(candidates, {}, {3, 0});
+        leader->group->RepairMembership(candidates, {}, {3, 0});
         return leader->group->members().IsVoter(99);
       }
       return false;
@@ -219,7 +219,7 @@
     CHECK(cluster.RunUntil([&] {
       Cluster::Node* leader = cluster.Leader();
       if (leader != nullptr) {
-        leader->group->Heal(candidates, {}, {3, 0});
+        leader->group->RepairMembership(candidates, {}, {3, 0});
         return leader->group->members().IsVoter(99) &&
                leader->group->members().members.size() == 3;
       }
