--- a/src/consensus/durablelog.h
+++ b/src/consensus/durablelog.h
@@ -13,45 +13,48 @@
 
 namespace papayarack::consensus {
 
-/// Who owns a data folder; written once, when the folder is formatted.
+/// The member that a data folder belongs to. Written once, when the folder is
+/// formatted.
 struct FolderIdentity {
   MemberId member = 0;
   std::string cluster;
   MSGPACK_DEFINE(member, cluster)
 };
 
-/// Writes the identity and, for the first members of a cluster, the members of
-/// `groups` groups. A joining member passes an empty list. Throws
-/// ResultError(kConflict) when the folder already has an identity: a wiped or
-/// foreign disk never votes under an old name.
+/// Writes the identity and the initial member list of each of `groups` groups.
+/// A member that joins later passes an empty list. Throws
+/// ResultError(kConflict) when the folder already has an identity, so that a
+/// wiped or foreign disk never votes under an old member id.
 void FormatFolder(storage::FileSystem& files, const FolderIdentity& identity,
-                  const MemberList& first_members, GroupId groups);
+                  const MemberList& initial_members, GroupId groups);
 
 /// Writes the identity of a folder that holds no group yet. Throws
 /// ResultError(kConflict) when it has one.
 void WriteIdentity(storage::FileSystem& files, const FolderIdentity& identity);
 
-/// Makes a group with these first members; only for a group that never existed.
-/// Throws ResultError(kConflict) when the folder already holds it.
+/// Creates a group with these initial members. Precondition: the group never
+/// existed before. Throws ResultError(kConflict) when the folder already holds
+/// it.
 void CreateGroup(storage::FileSystem& files, GroupId group,
-                 const MemberList& first_members);
+                 const MemberList& initial_members);
 
 /// Whether the folder holds state of the group.
 bool HasGroup(const storage::FileSystem& files, GroupId group);
 
-/// The identity, or nothing when the folder was never formatted.
+/// The identity; empty if the folder was never formatted.
 std::optional<FolderIdentity> ReadIdentity(const storage::FileSystem& files);
 
-/// What a member finds on its disk when it starts.
+/// State that a member reads from its disk at start-up.
 struct RecoveredState {
   HardState hard_state;
   SnapshotMeta snapshot;
-  std::string state;  ///< The state machine's bytes as of the snapshot.
-  std::vector<Entry> entries;   ///< After the snapshot.
-  std::uint64_t cut_bytes = 0;  ///< Torn tail that was cut.
+  std::string state;           ///< Serialised state machine as of the snapshot.
+  std::vector<Entry> entries;  ///< After the snapshot.
+  /// Bytes of an incomplete last record that were cut off.
+  std::uint64_t cut_bytes = 0;
 };
 
-/// The durable half of one group member: hard state, log and snapshot files.
+/// Durable storage of one group member: hard state, log and snapshot files.
 /// Thread safety: none, one owner (the write-and-sync thread).
 class DurableLog {
  public:
@@ -59,18 +62,20 @@
              std::uint64_t segment_bytes =
                  storage::SegmentedLog::kDefaultSegmentBytes);
 
-  /// Reads all; call once, first. Throws ResultError(kStorageDamaged).
+  /// Reads the stored state. Call once, before any other method. Throws
+  /// ResultError(kStorageDamaged).
   RecoveredState Recover();
-  /// Writes and syncs. Nothing may be acknowledged unless it returned.
+  /// Writes and syncs. Nothing may be acknowledged before this returns.
   void Write(std::optional<Index> truncate_from, std::span<const Entry> entries,
              const std::optional<HardState>& hard_state);
-  /// Makes a snapshot of the own state durable, then drops the log before it.
+  /// Makes a snapshot of this member's state durable, then drops the log before
+  /// it.
   void SaveSnapshot(const SnapshotMeta& meta, std::string_view state);
-  /// Makes a fetched snapshot durable, then removes the whole log.
+  /// Makes a fetched snapshot durable, then clears the log.
   void InstallSnapshot(const SnapshotMeta& meta, std::string_view state);
   std::uint64_t LogBytes() const { return this->log.Bytes(); }
 
-  /// The snapshot file of a group as it stands; nothing when there is none.
+  /// Reads the current snapshot file of a group; empty if there is none.
   static std::optional<std::pair<SnapshotMeta, std::string>> ReadSnapshot(
       const storage::FileSystem& files, GroupId group);
 
--- a/src/consensus/internal/durablelog.cpp
+++ b/src/consensus/internal/durablelog.cpp
@@ -22,7 +22,7 @@
   return fmt::format("raft-{:04}", group);
 }
 
-/// Content of a snapshot file.
+/// Contents of a snapshot file.
 struct SnapshotContent {
   SnapshotMeta meta;
   std::string state;
@@ -32,7 +32,7 @@
 }  // namespace
 
 void FormatFolder(storage::FileSystem& files, const FolderIdentity& identity,
-                  const MemberList& first_members, GroupId groups) {
+                  const MemberList& initial_members, GroupId groups) {
   if (ReadIdentity(files).has_value()) {
     throw ResultError(ResultCode::kConflict, "the folder is already formatted");
   }
@@ -41,7 +41,7 @@
                       "the folder is not empty and has no identity");
   }
   for (GroupId group = 0; group < groups; ++group) {
-    CreateGroup(files, group, first_members);
+    CreateGroup(files, group, initial_members);
   }
   WriteIdentity(files, identity);
 }
@@ -59,13 +59,13 @@
 }
 
 void CreateGroup(storage::FileSystem& files, GroupId group,
-                 const MemberList& first_members) {
+                 const MemberList& initial_members) {
   if (HasGroup(files, group)) {
     throw ResultError(ResultCode::kConflict,
                       "the folder already holds this group");
   }
   SnapshotContent content;
-  content.meta.members = first_members;
+  content.meta.members = initial_members;
   storage::WriteCheckedFile(files, SnapshotFile(group), EncodeMessage(content));
 }
 
@@ -116,8 +116,8 @@
       });
   recovered.cut_bytes = report.cut_bytes;
   // A crash between installing a snapshot and clearing the log leaves entries
-  // that end before the snapshot or belong to another history; they are not to
-  // be joined to it.
+  // that end before the snapshot or conflict with its last term. They must not
+  // follow the snapshot.
   const bool gap =
       !recovered.entries.empty() && recovered.entries.front().index != base + 1;
   if (gap && report.first > base + 1) {
@@ -149,15 +149,15 @@
 
 void DurableLog::WriteSnapshotFile(const SnapshotMeta& meta,
                                    std::string_view state) {
-  // The bytes of a SnapshotContent, made without a second copy of the state: a
-  // snapshot must not need several times its size on a small VM.
+  // Encodes a SnapshotContent without another copy of the state, so that on a
+  // small VM a snapshot does not need several times its size.
   SnapshotMeta sized = meta;
   sized.state_bytes = state.size();
   constexpr std::uint32_t kFields = 2;
-  constexpr std::size_t kHeads = 64;
+  constexpr std::size_t kHeaderBytes = 64;
   PackedString packed;
   const std::string packed_meta = EncodeMessage(sized);
-  packed.bytes.reserve(packed_meta.size() + state.size() + kHeads);
+  packed.bytes.reserve(packed_meta.size() + state.size() + kHeaderBytes);
   msgpack::packer<PackedString> packer(packed);
   packer.pack_array(kFields);
   packed.write(packed_meta.data(), packed_meta.size());
--- a/src/consensus/internal/members.cpp
+++ b/src/consensus/internal/members.cpp
@@ -6,7 +6,7 @@
 namespace papayarack::consensus {
 namespace {
 
-/// The wire form of RaftMessage.
+/// Wire format of RaftMessage.
 struct WireMessage {
   std::uint32_t version = kMessageVersion;
   GroupId group = 0;
--- a/src/consensus/internal/raftcore.cpp
+++ b/src/consensus/internal/raftcore.cpp
@@ -9,12 +9,13 @@
 namespace papayarack::consensus {
 namespace {
 
-/// How many members differ between two lists, by id and by right to vote.
+/// Number of members that differ between two lists, in id or voting right.
 std::size_t CountDifferences(const MemberList& one, const MemberList& other) {
   std::size_t differences = 0;
   for (const Member& member : one.members) {
-    const Member* twin = other.Find(member.id);
-    differences += (twin == nullptr || twin->voter != member.voter) ? 1 : 0;
+    const Member* counterpart = other.Find(member.id);
+    differences +=
+        (counterpart == nullptr || counterpart->voter != member.voter) ? 1 : 0;
   }
   for (const Member& member : other.members) {
     differences += one.Find(member.id) == nullptr ? 1 : 0;
@@ -41,14 +42,14 @@
       commit_index(snapshot.index),
       applied_index(snapshot.index),
       now(now),
-      leader_heard(now - options.election),
+      last_leader_contact(now - options.election),
       random(options.seed) {
   for (Entry& entry : entries) {
     this->raft_log.Append(std::move(entry));
   }
   this->persisted_index = this->raft_log.LastIndex();
   this->RefreshMembers();
-  this->ResetElectionTimer(this->options.first_election);
+  this->ResetElectionTimer(this->options.first_election_timeout);
 }
 
 void RaftCore::RefreshMembers() {
@@ -113,7 +114,7 @@
   this->ResetElectionTimer();
 }
 
-// --- time
+// --- timeouts
 
 void RaftCore::Tick(Time time) {
   this->now = time;
@@ -135,13 +136,12 @@
   }
 }
 
-/// Symptom guarded against: a leader cut off from the others goes on answering
-/// as if in charge. It notices that no majority answered within an election
-/// timeout, and steps down.
+/// Steps down if no majority has answered within an election timeout. Otherwise
+/// a leader that is cut off from the others would continue to answer.
 void RaftCore::CheckQuorum() {
   std::set<MemberId> heard = {this->options.self};
-  for (const auto& [id, known] : this->progress) {
-    if (this->now - known.last_heard < this->options.election) {
+  for (const auto& [id, peer] : this->progress) {
+    if (this->now - peer.last_heard < this->options.election) {
       heard.insert(id);
     }
   }
@@ -163,13 +163,13 @@
     this->ready.hard_state = this->hard;
   }
   this->ResetElectionTimer();
-  const Term asked_term = pre_vote ? this->hard.term + 1 : this->hard.term;
+  const Term request_term = pre_vote ? this->hard.term + 1 : this->hard.term;
   for (const MemberId voter : this->member_list.Voters()) {
     if (voter != this->options.self) {
       this->Send(voter,
                  VoteRequest{pre_vote, transfer, this->raft_log.LastIndex(),
                              this->raft_log.LastTerm()},
-                 !pre_vote, asked_term);
+                 !pre_vote, request_term);
     }
   }
   this->CountVotes();
@@ -192,10 +192,11 @@
   }
 }
 
-bool RaftCore::LeaderHeardLately() const {
+bool RaftCore::HeardFromLeaderRecently() const {
   const bool leads = this->current_role == RaftRole::kLeader;
-  return leads || (this->leader_id != 0 &&
-                   this->now - this->leader_heard < this->options.election);
+  return leads ||
+         (this->leader_id != 0 &&
+          this->now - this->last_leader_contact < this->options.election);
 }
 
 void RaftCore::OnVoteRequest(const RaftMessage& message,
@@ -205,7 +206,7 @@
       std::pair(this->raft_log.LastTerm(), this->raft_log.LastIndex());
   if (request.pre_vote) {
     const bool granted = message.term > this->hard.term && log_current &&
-                         !this->LeaderHeardLately();
+                         !this->HeardFromLeaderRecently();
     this->Send(message.from, VoteResponse{true, granted}, false,
                granted ? message.term : this->hard.term);
     return;
@@ -221,8 +222,8 @@
     }
     this->ResetElectionTimer();
   }
-  // The vote leaves only after it is synced: a voter that forgets it could vote
-  // twice.
+  // The vote is sent only after it is synced: a voter that lost it in a crash
+  // could vote twice in one term.
   this->Send(message.from, VoteResponse{false, granted}, true);
 }
 
@@ -251,26 +252,27 @@
       Progress fresh;
       fresh.next = this->raft_log.LastIndex() + 1;
       fresh.last_heard = this->now;
-      // Without it every follower counts as silent since the epoch and gets the
-      // log from its start, up to 1 MB each, at each election.
+      // Otherwise every follower would count as silent since the epoch, and
+      // each election would send the log from its start, up to 1 MB, to each of
+      // them.
       fresh.last_progress = this->now;
       this->progress[member.id] = fresh;
     }
   }
-  this->AppendOwn(EntryKind::kNoop, {});
+  this->AppendEntry(EntryKind::kNoop, {});
   this->term_start = this->raft_log.LastIndex();
   this->BroadcastAppend(true);
 }
 
 // --- messages
 
-bool RaftCore::AdmitTerm(const RaftMessage& message) {
+bool RaftCore::CheckTerm(const RaftMessage& message) {
   const auto* vote = std::get_if<VoteRequest>(&message.body);
   const auto* answer = std::get_if<VoteResponse>(&message.body);
   if (message.term < this->hard.term) {
-    // A deposed leader or a member that missed terms learns of the term from
-    // the refusal. Without an answer to every kind, a member in a later term
-    // would stay behind for good.
+    // The refusal tells a deposed leader, or a member that missed terms, the
+    // current term. A leader of an earlier term must get one for append
+    // requests and snapshot offers alike, or this member would never catch up.
     if (std::holds_alternative<AppendRequest>(message.body) ||
         std::holds_alternative<SnapshotOffer>(message.body)) {
       this->Send(message.from,
@@ -288,8 +290,8 @@
       return true;
     }
     // A member that was cut off must not depose a leader that the others can
-    // hear.
-    if (!vote->transfer && this->LeaderHeardLately()) {
+    // reach.
+    if (!vote->transfer && this->HeardFromLeaderRecently()) {
       return false;
     }
   }
@@ -306,7 +308,7 @@
 void RaftCore::Step(const RaftMessage& message, Time time) {
   this->now = std::max(this->now, time);
   if (message.to != this->options.self ||
-      message.group != this->options.group || !this->AdmitTerm(message)) {
+      message.group != this->options.group || !this->CheckTerm(message)) {
     return;
   }
   std::visit(
@@ -365,11 +367,11 @@
     if (entry.index < this->raft_log.FirstIndex()) {
       continue;
     }
-    const std::optional<Term> have = this->raft_log.TermAt(entry.index);
-    if (have == entry.term) {
+    const std::optional<Term> local_term = this->raft_log.TermAt(entry.index);
+    if (local_term == entry.term) {
       continue;
     }
-    if (have.has_value()) {
+    if (local_term.has_value()) {
       this->Truncate(entry.index);
     }
     this->raft_log.Append(entry);
@@ -387,16 +389,16 @@
       this->leader_id != message.from) {
     this->BecomeFollower(message.term, message.from);
   }
-  this->leader_heard = this->now;
+  this->last_leader_contact = this->now;
   this->ResetElectionTimer();
   if (!this->AcceptEntries(request)) {
-    // What is committed here is equal everywhere; beyond it the logs may differ
-    // entry by entry.
+    // Committed entries are the same on all members; after them, any entry may
+    // differ.
     const bool gap = request.prev_index > this->raft_log.LastIndex();
-    const Index try_from =
+    const Index retry_after =
         gap ? this->raft_log.LastIndex() : this->commit_index;
     this->Send(message.from,
-               AppendResponse{false, try_from, request.read_round}, true);
+               AppendResponse{false, retry_after, request.read_round}, true);
     return;
   }
   const Index matched = std::max(request.prev_index + request.entries.size(),
@@ -413,7 +415,7 @@
       this->leader_id != message.from) {
     this->BecomeFollower(message.term, message.from);
   }
-  this->leader_heard = this->now;
+  this->last_leader_contact = this->now;
   this->ResetElectionTimer();
   if (!this->WantsSnapshot(offer.meta)) {
     this->commit_index = std::max(this->commit_index, offer.meta.index);
@@ -424,10 +426,10 @@
   this->ready.fetch_from = message.from;
 }
 
-/// Symptom guarded against: committed entries vanish. A member that has just
-/// restarted knows no commit index; were it to take a snapshot that its log
-/// already covers, it would throw away the entries after it, some of them
-/// committed with its help. So a covered snapshot is declined.
+/// A snapshot that the log already covers is declined. A member that has just
+/// restarted does not know the commit index; installing such a snapshot would
+/// drop the entries after it, some of which may be committed with the help of
+/// this member.
 bool RaftCore::WantsSnapshot(const SnapshotMeta& meta) const {
   return meta.index > this->commit_index &&
          this->raft_log.TermAt(meta.index) != meta.term;
@@ -449,7 +451,7 @@
 
 // --- leader
 
-void RaftCore::AppendOwn(EntryKind kind, std::string payload) {
+void RaftCore::AppendEntry(EntryKind kind, std::string payload) {
   Entry entry{this->hard.term, this->raft_log.LastIndex() + 1,
               static_cast<std::uint8_t>(kind), std::move(payload)};
   this->raft_log.Append(entry);
@@ -465,7 +467,7 @@
     throw ResultError(ResultCode::kOverloaded,
                       "too many bytes wait to be committed");
   }
-  this->AppendOwn(EntryKind::kCommand, std::move(payload));
+  this->AppendEntry(EntryKind::kCommand, std::move(payload));
   this->BroadcastAppend(false);
   return {this->raft_log.LastIndex(), this->hard.term};
 }
@@ -495,9 +497,8 @@
 
 void RaftCore::CheckPromotions(const MemberList& members) const {
   for (const Member& member : members.members) {
-    // A learner counts only when it holds, synced, all that is committed:
-    // counting an empty member would let a majority exist that lacks
-    // acknowledged entries.
+    // A learner is promoted only once it has synced all committed entries.
+    // Otherwise a majority could exist that lacks acknowledged entries.
     const bool promoted = member.voter && !this->member_list.IsVoter(member.id);
     if (promoted && (this->member_list.Find(member.id) == nullptr ||
                      this->MatchOf(member.id) < this->commit_index)) {
@@ -520,7 +521,7 @@
                       "another membership change is under way");
   }
   this->CheckPromotions(members);
-  this->AppendOwn(EntryKind::kMembers, EncodeMessage(members));
+  this->AppendEntry(EntryKind::kMembers, EncodeMessage(members));
   this->RefreshMembers();
   for (const Member& member : members.members) {
     if (member.id != this->options.self &&
@@ -542,7 +543,7 @@
     ++this->read_round;
   }
   std::vector<MemberId> targets;
-  for (const auto& [id, known] : this->progress) {
+  for (const auto& [id, peer] : this->progress) {
     targets.push_back(id);
   }
   for (const MemberId id : targets) {
@@ -550,38 +551,38 @@
   }
 }
 
-void RaftCore::SendOffer(MemberId to, Progress& known) {
-  known.snapshot_offered = this->raft_log.snapshot().index;
+void RaftCore::SendSnapshotOffer(MemberId to, Progress& peer) {
+  peer.snapshot_offered = this->raft_log.snapshot().index;
   this->Send(to, SnapshotOffer{this->raft_log.snapshot()}, false);
 }
 
-/// Answers to heartbeats do not count as acknowledgements: they come also when
-/// every append was lost. Symptom guarded against: a large entry that takes
-/// longer than the wait to arrive is sent again and again, which fills the
-/// leader's link and makes everything on it later still. So the first wait
-/// grows with what is under way, and each further one doubles.
-void RaftCore::ResendWhenSilent(Progress& known) {
-  const bool outstanding = known.match + 1 < known.next;
+/// Responses to heartbeats do not count as acknowledgements, because they
+/// arrive even if every append was lost. The first wait grows with the bytes in
+/// flight, and each further one doubles: otherwise a large entry that takes
+/// longer than the wait to arrive would be sent repeatedly, which would fill
+/// the leader's link and delay it further.
+void RaftCore::ResendOnTimeout(Progress& peer) {
+  const bool outstanding = peer.match + 1 < peer.next;
   const Duration first_wait =
-      2 * this->options.heartbeat + TimeToCarry(known.inflight_bytes);
-  const Duration wait = std::clamp<Duration>(first_wait, known.resend_wait,
-                                             this->options.longest_resend_wait);
-  if (!outstanding || this->now - known.last_progress < wait) {
+      2 * this->options.heartbeat + TimeToCarry(peer.inflight_bytes);
+  const Duration wait = std::clamp<Duration>(first_wait, peer.resend_delay,
+                                             this->options.max_resend_delay);
+  if (!outstanding || this->now - peer.last_progress < wait) {
     return;
   }
-  known.next = known.match + 1;
-  known.ForgetSent();
-  known.probing = true;
+  peer.next = peer.match + 1;
+  peer.ClearInflight();
+  peer.probing = true;
   ++this->resend_count;
-  known.resend_wait = std::min(2 * wait, this->options.longest_resend_wait);
+  peer.resend_delay = std::min(2 * wait, this->options.max_resend_delay);
 }
 
-void RaftCore::Progress::Sent(const SentAppend& append) {
+void RaftCore::Progress::RecordSent(const InflightAppend& append) {
   this->inflight.push_back(append);
   this->inflight_bytes += append.bytes;
 }
 
-void RaftCore::Progress::Arrived() {
+void RaftCore::Progress::RemoveAcknowledged() {
   while (!this->inflight.empty() &&
          this->inflight.front().last <= this->match) {
     this->inflight_bytes -= this->inflight.front().bytes;
@@ -589,74 +590,73 @@
   }
 }
 
-void RaftCore::Progress::ForgetSent() {
+void RaftCore::Progress::ClearInflight() {
   this->inflight.clear();
   this->inflight_bytes = 0;
 }
 
-/// Symptom guarded against: large entries while a follower's acknowledgements
-/// are late put 16 appends of up to 1 MB each on its way; its link stays full
-/// for seconds, and with four followers the leader holds 64 MB. What is under
-/// way is bounded by its bytes too.
-std::optional<std::size_t> RaftCore::BytesToSend(const Progress& known) const {
-  if (known.inflight.empty()) {
+/// Limits the bytes in flight as well as the number of appends. With large
+/// entries and late acknowledgements, 16 appends of up to 1 MB each would fill
+/// a follower's link for seconds, and with four followers the leader would hold
+/// 64 MB.
+std::optional<std::size_t> RaftCore::BytesToSend(const Progress& peer) const {
+  if (peer.inflight.empty()) {
     return this->options.max_append_bytes;
   }
-  if (known.probing ||
-      known.inflight.size() >= this->options.max_inflight_appends ||
-      known.inflight_bytes >= this->options.max_inflight_bytes) {
+  if (peer.probing ||
+      peer.inflight.size() >= this->options.max_inflight_appends ||
+      peer.inflight_bytes >= this->options.max_inflight_bytes) {
     return std::nullopt;
   }
   const std::size_t left =
-      this->options.max_inflight_bytes - known.inflight_bytes;
-  // An append carries one entry at least, whatever its size.
-  if (this->raft_log.PayloadBytesAt(known.next) > left) {
+      this->options.max_inflight_bytes - peer.inflight_bytes;
+  // An append carries at least one entry, whatever its size.
+  if (this->raft_log.PayloadBytesAt(peer.next) > left) {
     return std::nullopt;
   }
   return std::min(this->options.max_append_bytes, left);
 }
 
 void RaftCore::SendAppend(MemberId to, bool heartbeat) {
-  Progress& known = this->progress.at(to);
+  Progress& peer = this->progress.at(to);
   if (heartbeat) {
-    this->ResendWhenSilent(known);
+    this->ResendOnTimeout(peer);
   }
-  if (known.next < this->raft_log.FirstIndex()) {
-    if (heartbeat ||
-        known.snapshot_offered != this->raft_log.snapshot().index) {
-      this->SendOffer(to, known);
+  if (peer.next < this->raft_log.FirstIndex()) {
+    if (heartbeat || peer.snapshot_offered != this->raft_log.snapshot().index) {
+      this->SendSnapshotOffer(to, peer);
     }
     return;
   }
   bool sent_any = false;
-  while (known.next <= this->raft_log.LastIndex()) {
-    const std::optional<std::size_t> bytes = this->BytesToSend(known);
+  while (peer.next <= this->raft_log.LastIndex()) {
+    const std::optional<std::size_t> bytes = this->BytesToSend(peer);
     if (!bytes.has_value()) {
       break;
     }
     AppendRequest request;
-    request.prev_index = known.next - 1;
+    request.prev_index = peer.next - 1;
     request.prev_term = *this->raft_log.TermAt(request.prev_index);
-    known.sent_after = request.prev_index;
+    peer.sent_after = request.prev_index;
     request.commit = this->commit_index;
     request.read_round = this->read_round;
     request.entries =
-        this->raft_log.Slice(known.next, this->raft_log.LastIndex(), *bytes);
-    known.last_progress =
-        known.match + 1 == known.next ? this->now : known.last_progress;
-    known.next += request.entries.size();
-    known.Sent({known.next - 1, PayloadBytes(request.entries)});
+        this->raft_log.Slice(peer.next, this->raft_log.LastIndex(), *bytes);
+    peer.last_progress =
+        peer.match + 1 == peer.next ? this->now : peer.last_progress;
+    peer.next += request.entries.size();
+    peer.RecordSent({peer.next - 1, PayloadBytes(request.entries)});
     sent_any = true;
     this->Send(to, std::move(request), false);
   }
   if (heartbeat && !sent_any) {
     AppendRequest request;
-    request.prev_index = std::min(known.match, this->raft_log.LastIndex());
+    request.prev_index = std::min(peer.match, this->raft_log.LastIndex());
     if (request.prev_index < this->raft_log.snapshot().index) {
       request.prev_index = this->raft_log.snapshot().index;
     }
     request.prev_term = *this->raft_log.TermAt(request.prev_index);
-    request.commit = std::min(this->commit_index, known.match);
+    request.commit = std::min(this->commit_index, peer.match);
     request.read_round = this->read_round;
     this->Send(to, std::move(request), false);
   }
@@ -669,46 +669,47 @@
       found == this->progress.end()) {
     return;
   }
-  Progress& known = found->second;
-  if (this->now - known.last_heard >= this->options.election) {
-    // Back after it was out of reach: what was sent meanwhile is lost, and the
-    // wait that has grown belongs to a connection that is gone. On a slow link
-    // answers come late but without such gaps.
-    known.resend_wait = {};
+  Progress& peer = found->second;
+  if (this->now - peer.last_heard >= this->options.election) {
+    // The member was unreachable and is back: what was sent meanwhile is lost,
+    // and the grown delay belongs to a connection that is gone. On a slow link
+    // responses are late but have no such gaps.
+    peer.resend_delay = {};
   }
-  known.last_heard = this->now;
-  known.read_round = std::max(known.read_round, response.read_round);
+  peer.last_heard = this->now;
+  peer.read_round = std::max(peer.read_round, response.read_round);
   if (response.success) {
-    const bool progressed = response.match > known.match;
-    known.probing = known.probing && !progressed;
-    known.last_progress = progressed ? this->now : known.last_progress;
-    known.resend_wait = progressed ? Duration{} : known.resend_wait;
-    known.match = std::max(
-        known.match, std::min(response.match, this->raft_log.LastIndex()));
-    known.next = std::max(known.next, known.match + 1);
-    known.Arrived();
+    const bool progressed = response.match > peer.match;
+    peer.probing = peer.probing && !progressed;
+    peer.last_progress = progressed ? this->now : peer.last_progress;
+    peer.resend_delay = progressed ? Duration{} : peer.resend_delay;
+    peer.match = std::max(peer.match,
+                          std::min(response.match, this->raft_log.LastIndex()));
+    peer.next = std::max(peer.next, peer.match + 1);
+    peer.RemoveAcknowledged();
     this->AdvanceCommit();
-  } else if (!known.probing || known.inflight.empty() ||
-             response.match < known.sent_after) {
-    known.probing = true;
-    known.ForgetSent();
-    known.last_progress = this->now;
-    known.resend_wait = {};
-    known.next =
-        std::max(known.match + 1, std::min(response.match + 1, known.next));
-  }
-  // Any other refusal is of an append sent before the probe that is under way:
-  // that probe's own names an index before it. With one of 16 appends of 400 KB
-  // lost, the follower refuses 15; answering each sent 15 appends (12 MB).
-  this->AnswerReads();
+  } else if (!peer.probing || peer.inflight.empty() ||
+             response.match < peer.sent_after) {
+    peer.probing = true;
+    peer.ClearInflight();
+    peer.last_progress = this->now;
+    peer.resend_delay = {};
+    peer.next =
+        std::max(peer.match + 1, std::min(response.match + 1, peer.next));
+  }
+  // Any other refusal is of an append sent before the probe in flight: a
+  // refusal of the probe itself names an index before the probe. If one of 16
+  // appends of 400 KB is lost, the follower refuses 15; answering each would
+  // send 15 appends (12 MB).
+  this->ConfirmReads();
   if (this->current_role != RaftRole::kLeader) {
     return;
   }
   if (this->transfer_to == message.from &&
-      known.match == this->raft_log.LastIndex()) {
+      peer.match == this->raft_log.LastIndex()) {
     this->Send(message.from, TimeoutNow{}, false);
   }
-  if (known.next <= this->raft_log.LastIndex()) {
+  if (peer.next <= this->raft_log.LastIndex()) {
     this->SendAppend(message.from, false);
   }
 }
@@ -724,17 +725,18 @@
   }
   std::ranges::sort(matches, std::greater<>());
   const Index agreed = matches.at(matches.size() / 2);
-  // Only entries of the own term are counted (Raft, section 5.4.2): an older
-  // one may still be replaced by another leader even when a majority holds it.
+  // Only entries of the current term are committed by counting replicas (Raft,
+  // section 5.4.2): another leader may still replace an older one even if a
+  // majority holds it.
   if (agreed <= this->commit_index ||
       this->raft_log.TermAt(agreed) != this->hard.term) {
     return;
   }
   this->commit_index = agreed;
   const MemberList committed = this->raft_log.MembersAt(agreed);
-  std::erase_if(this->progress, [&](const auto& known) {
-    return committed.Find(known.first) == nullptr &&
-           this->member_list.Find(known.first) == nullptr;
+  std::erase_if(this->progress, [&](const auto& peer) {
+    return committed.Find(peer.first) == nullptr &&
+           this->member_list.Find(peer.first) == nullptr;
   });
   if (this->raft_log.LatestMembersIndex() <= agreed &&
       !this->member_list.IsVoter(this->options.self)) {
@@ -742,12 +744,12 @@
     this->BecomeFollower(this->hard.term, 0);
     return;
   }
-  this->AnswerReads();
+  this->ConfirmReads();
 }
 
 void RaftCore::Persisted(const RaftBatch& batch) {
-  // A batch written before a truncation says nothing about entries that came
-  // back after it.
+  // A batch written before a truncation says nothing about entries appended
+  // again after it.
   const bool current = batch.number >= this->truncated_in_batch;
   if (current && this->raft_log.TermAt(batch.last_index) == batch.last_term) {
     this->persisted_index = std::max(this->persisted_index, batch.last_index);
@@ -770,10 +772,10 @@
     return;
   }
   MemberId best = 0;
-  for (const auto& [id, known] : this->progress) {
-    const bool alive = this->now - known.last_heard < this->options.election;
+  for (const auto& [id, peer] : this->progress) {
+    const bool alive = this->now - peer.last_heard < this->options.election;
     if (alive && this->member_list.IsVoter(id) &&
-        (best == 0 || known.match > this->MatchOf(best))) {
+        (best == 0 || peer.match > this->MatchOf(best))) {
       best = id;
     }
   }
@@ -795,17 +797,17 @@
     this->ready.reads_failed.push_back(token);
     return;
   }
-  // The read is confirmed by a heartbeat round that starts after it came.
+  // The read is confirmed by a heartbeat round that starts after the request.
   this->reads.push_back({token, this->read_round + 1, this->commit_index});
   this->BroadcastAppend(true);
-  this->AnswerReads();
+  this->ConfirmReads();
 }
 
-void RaftCore::AnswerReads() {
+void RaftCore::ConfirmReads() {
   std::erase_if(this->reads, [this](const PendingRead& read) {
     std::set<MemberId> confirmed = {this->options.self};
-    for (const auto& [id, known] : this->progress) {
-      if (known.read_round >= read.round) {
+    for (const auto& [id, peer] : this->progress) {
+      if (peer.read_round >= read.round) {
         confirmed.insert(id);
       }
     }
@@ -829,10 +831,10 @@
 }
 
 RaftReady RaftCore::TakeReady() {
-  // Symptom guarded against: nothing is acknowledged or read while the leader's
-  // disk is slow, though a majority has synced all of it. A leader need not
-  // have synced what it answers; it does not count itself towards the majority
-  // before.
+  // A leader may apply committed entries that it has not synced itself, as it
+  // counts towards the majority only for entries that it has synced. Otherwise
+  // a slow disk on the leader would delay all acknowledgements and reads
+  // although a majority has synced the entries.
   const Index can_apply =
       this->current_role == RaftRole::kLeader
           ? this->commit_index
@@ -842,8 +844,9 @@
         this->raft_log.Slice(this->applied_index + 1, can_apply, SIZE_MAX);
     this->applied_index = can_apply;
   }
-  // A confirmed read waits for all that was committed when it came, or it would
-  // miss what another caller was already told.
+  // A confirmed read waits until everything committed at its request is
+  // applied. Otherwise it would miss commands already acknowledged to other
+  // callers.
   std::erase_if(this->confirmed_reads, [this](const PendingRead& read) {
     const bool served = read.index <= this->applied_index;
     if (served) {
--- a/src/consensus/raftcore.h
+++ b/src/consensus/raftcore.h
@@ -18,28 +18,29 @@
 
 namespace papayarack::consensus {
 
-/// Timings and bounds of one group member.
+/// Timeouts and limits of one group member.
 struct RaftOptions {
   GroupId group = 0;
   MemberId self = 0;
   Duration heartbeat{std::chrono::milliseconds(100)};
-  Duration election{
-      std::chrono::milliseconds(600)};  ///< Randomised up to twice this.
-  /// The same for the first election after a start. When every member was
-  /// killed at once nobody leads, and callers wait for this; a leader that
-  /// still leads is not disturbed, as its followers refuse a pre-vote.
-  Duration first_election{std::chrono::milliseconds(150)};
+  /// Election timeout; randomised between this and twice this.
+  Duration election{std::chrono::milliseconds(600)};
+  /// The election timeout until the first election after a start. If all
+  /// members were killed at once there is no leader, and callers wait this
+  /// long. A leader that is still active is not disturbed, because its
+  /// followers refuse the pre-vote.
+  Duration first_election_timeout{std::chrono::milliseconds(150)};
   std::size_t max_append_bytes = 1U << 20U;
   std::size_t max_inflight_appends = 16;
-  /// Payload bytes sent to one follower and not yet acknowledged; one append
-  /// always goes. 2 MB are 0.17 s of a link of 12 MB/s, and 8 MB for four
-  /// followers of a process that may use 64 MB.
+  /// Limit of payload bytes sent to one follower and not yet acknowledged; a
+  /// single append may exceed it. 2 MB take 0.17 s on a 12 MB/s link. With four
+  /// followers they add up to 8 MB, in a process that may use 64 MB.
   std::size_t max_inflight_bytes = 2U << 20U;
-  /// Bound of the wait for an acknowledgement before entries are sent again;
-  /// it starts at two heartbeats and the time to carry what is under way, and
-  /// doubles with each resend. 1 MB (max_append_bytes) in 3.2 s is 2.6 Mbit/s,
-  /// a tenth of the slowest entry's link (30 Mbit/s).
-  Duration longest_resend_wait{std::chrono::milliseconds(3200)};
+  /// Maximum wait for an acknowledgement before entries are sent again. The
+  /// wait starts at two heartbeats plus the transfer time of the bytes in
+  /// flight, and doubles with each resend. 1 MB (max_append_bytes) in 3.2 s is
+  /// 2.6 Mbit/s, a tenth of the slowest entry's link (30 Mbit/s).
+  Duration max_resend_delay{std::chrono::milliseconds(3200)};
   std::size_t max_uncommitted_bytes = 64U << 20U;
   std::uint64_t seed = 1;
 };
@@ -51,14 +52,14 @@
   kLeader
 };
 
-/// Names one Ready and the end of the log as of it.
+/// Identifies one RaftReady and the end of the log at that time.
 struct RaftBatch {
   std::uint64_t number = 0;
   Index last_index = 0;
   Term last_term = 0;
 };
 
-/// What the owner must do, in this order: send `before_sync`; write
+/// Work for the owner, to be done in this order: send `before_sync`; write
 /// truncate_from, entries and hard_state and sync them; call Persisted; send
 /// `after_sync`; apply `committed`; answer reads.
 struct RaftReady {
@@ -69,10 +70,10 @@
   std::optional<HardState> hard_state;
   std::vector<RaftMessage> after_sync;
   std::vector<Entry> committed;
-  std::vector<std::uint64_t>
-      reads_ready;  ///< Tokens: serve once all of `committed` is applied.
-  std::vector<std::uint64_t>
-      reads_failed;  ///< Tokens: this member cannot confirm a read.
+  /// Tokens of reads that may be answered once all of `committed` is applied.
+  std::vector<std::uint64_t> reads_ready;
+  /// Tokens of reads that this member cannot confirm.
+  std::vector<std::uint64_t> reads_failed;
   std::optional<SnapshotOffer> fetch_snapshot;
   MemberId fetch_from = 0;
 
@@ -82,8 +83,8 @@
   }
 };
 
-/// Where a proposal stands in the log; it is lost when another term takes that
-/// index.
+/// Log position of a proposal. The proposal is lost if an entry of another term
+/// is committed at that index.
 struct ProposalPosition {
   Index index = 0;
   Term term = 0;
@@ -91,52 +92,54 @@
 
 /// One member of one replicated log: Raft (Ongaro and Ousterhout, 2014) with
 /// pre-vote, check quorum, confirmed reads, learners, one membership change at
-/// a time and leadership transfer. No sockets, clock, threads or randomness of
-/// its own. Thread safety: none, one owner.
+/// a time and leadership transfer. Uses no sockets, clock or threads; its
+/// random numbers derive from RaftOptions::seed. Thread safety: none, one
+/// owner.
 class RaftCore {
  public:
-  /// `entries` are the durable entries after `snapshot`, all synced.
+  /// `entries` are the entries after `snapshot`. Precondition: they are synced.
   RaftCore(const RaftOptions& options, const HardState& hard_state,
            const SnapshotMeta& snapshot, std::vector<Entry> entries, Time now);
 
-  /// Lets time pass: elections, heartbeats, stepping down. Call every few
-  /// milliseconds.
+  /// Handles timeouts: starts elections, sends heartbeats, steps down. Call
+  /// every few milliseconds.
   void Tick(Time now);
-  /// Takes one message from a peer; messages for others are ignored.
+  /// Handles one message from a peer; messages to other members are ignored.
   void Step(const RaftMessage& message, Time now);
-  /// Adds a command. Throws ResultError(kNotLeader, kOverloaded); nothing was
-  /// added then.
+  /// Appends a command to the log. Throws ResultError with kNotLeader or
+  /// kOverloaded; then nothing was appended.
   ProposalPosition Propose(std::string payload);
-  /// Changes the members by one. Throws ResultError(kNotLeader) or
-  /// ResultError(kConflict) when a change is under way, more than one member
-  /// differs, or a learner is not caught up.
+  /// Adds or removes one member, or changes its voting right. Throws
+  /// ResultError(kNotLeader), or ResultError(kConflict) when another change is
+  /// in progress, more than one member differs, or a learner has not caught up.
   ProposalPosition ProposeMembers(const MemberList& members);
-  /// Gives the vote of `lost`, whose disk is gone for good, to the learner
-  /// `heir` in one change. Precondition: `lost` can never vote again; another
-  /// identity reporting from its address proves that. Then any majority of the
-  /// old voters and any of the new ones share a member, although two members
-  /// differ. Throws like ProposeMembers.
+  /// Removes the voter `lost`, whose disk is gone for good, and promotes the
+  /// learner `replacement` in one change. Precondition: `lost` can never vote
+  /// again, as is proved by another identity that reports from its address. Any
+  /// majority of the old voters then shares a member with any majority of the
+  /// new ones, although two members differ. Throws like ProposeMembers.
   ProposalPosition ProposeReplacement(MemberId lost, MemberId replacement);
-  /// Asks that a read be confirmed by a quorum; the answer comes in a later
-  /// Ready.
+  /// Requests that a quorum confirms a read. The outcome is in a later
+  /// RaftReady.
   void RequestRead(std::uint64_t token, Time now);
-  /// Everything that this batch and the ones before it asked to write is
-  /// synced.
+  /// Reports that all writes of this batch and of those before it are synced.
   void Persisted(const RaftBatch& batch);
-  /// The owner's snapshot up to meta.index is durable: older entries may go.
+  /// Drops entries up to meta.index. Precondition: the owner's snapshot up to
+  /// there is durable.
   void Compact(const SnapshotMeta& meta);
-  /// Whether a fetched snapshot is still needed; ask right before making it
+  /// Whether a fetched snapshot is still needed. Call right before making it
   /// durable.
   bool WantsSnapshot(const SnapshotMeta& meta) const;
-  /// The owner synced the fetched snapshot and cleared its log. Precondition:
-  /// WantsSnapshot(meta), and no batch was waiting for its sync.
+  /// Switches to a fetched snapshot. Preconditions: WantsSnapshot(meta), the
+  /// owner has synced the snapshot and cleared its durable log, and no batch is
+  /// waiting for its sync.
   void SnapshotInstalled(const SnapshotMeta& meta);
-  /// Hands leadership to the best voter; no effect on others. For a graceful
-  /// stop.
+  /// Transfers leadership to the live voter with the most up-to-date log, for a
+  /// graceful stop. Does nothing unless this member leads.
   void TransferLeadership(Time now);
-  /// How often entries were sent again for want of an acknowledgement.
+  /// How often entries were sent again because no acknowledgement arrived.
   std::uint64_t resends() const { return this->resend_count; }
-  /// What is to be done since the last call.
+  /// Takes the work that has accumulated since the last call.
   RaftReady TakeReady();
 
   RaftRole role() const { return this->current_role; }
@@ -150,36 +153,36 @@
   bool LeaderReady() const;
   /// Highest synced index that a member has acknowledged to this leader.
   Index MatchOf(MemberId member) const;
-  /// When this leader last heard from a member; nothing when it never did, or
-  /// does not lead.
+  /// When this leader last heard from a member. Empty if it never did, or if
+  /// this member does not lead.
   std::optional<Time> LastHeard(MemberId member) const;
 
  private:
-  /// An append that may be on its way.
-  struct SentAppend {
-    Index last = 0;         ///< Of its entries.
-    std::size_t bytes = 0;  ///< Payloads.
+  /// An append that was sent and may not have arrived yet.
+  struct InflightAppend {
+    Index last = 0;         ///< Index of its last entry.
+    std::size_t bytes = 0;  ///< Payload bytes of its entries.
   };
-  /// What a leader knows of one member.
+  /// What the leader knows about one member's log and connection.
   struct Progress {
     Index match = 0;
     Index next = 1;
-    std::deque<SentAppend> inflight;
-    std::size_t inflight_bytes = 0;  ///< Payloads of `inflight`.
+    std::deque<InflightAppend> inflight;
+    std::size_t inflight_bytes = 0;  ///< Payload bytes of all of `inflight`.
     Time last_heard{};
     std::uint64_t read_round = 0;
     Time last_progress{};
-    Duration resend_wait{};  ///< For what is sent now; less than the first wait
-                             ///< (longest_resend_wait) stands for that.
+    Duration resend_delay{};  ///< Lower limit of the wait for an
+                              ///< acknowledgement; doubles with each resend.
     bool probing = true;
-    Index sent_after = 0;  ///< Index before the entries of the last append.
+    Index sent_after = 0;  ///< prev_index of the last append with entries.
     Index snapshot_offered = 0;
 
-    void Sent(const SentAppend& append);
-    /// Everything up to `match` arrived.
-    void Arrived();
-    /// Counts nothing as on its way any more.
-    void ForgetSent();
+    void RecordSent(const InflightAppend& append);
+    /// Drops appends up to `match` from `inflight`.
+    void RemoveAcknowledged();
+    /// Treats everything in flight as lost.
+    void ClearInflight();
   };
   struct PendingRead {
     std::uint64_t token = 0;
@@ -191,25 +194,25 @@
   void StartElection(bool pre_vote, bool transfer);
   void BecomeLeader();
   void ResetElectionTimer();
-  /// `least` to twice that from now.
+  /// Sets a random timeout between `least` and twice `least` from now.
   void ResetElectionTimer(Duration least);
   bool HasQuorum(const std::set<MemberId>& agreeing) const;
   void CountVotes();
   void Send(MemberId to, MessageBody body, bool after_sync,
             std::optional<Term> term = {});
   void SendAppend(MemberId to, bool heartbeat);
-  /// Payload bytes that may be sent to a member now; nothing while it has to
-  /// acknowledge something first.
-  std::optional<std::size_t> BytesToSend(const Progress& known) const;
-  /// Whether what was sent may be lost; if so, begins again behind what is
-  /// acknowledged.
-  void ResendWhenSilent(Progress& known);
-  void SendOffer(MemberId to, Progress& progress);
+  /// Payload bytes that may be sent to a member now. Empty if it must
+  /// acknowledge earlier appends first.
+  std::optional<std::size_t> BytesToSend(const Progress& peer) const;
+  /// If what was sent was not acknowledged in time, sends again from the first
+  /// unacknowledged entry.
+  void ResendOnTimeout(Progress& peer);
+  void SendSnapshotOffer(MemberId to, Progress& progress);
   void BroadcastAppend(bool heartbeat);
-  void AppendOwn(EntryKind kind, std::string payload);
+  void AppendEntry(EntryKind kind, std::string payload);
   void AdvanceCommit();
   void CheckQuorum();
-  void AnswerReads();
+  void ConfirmReads();
   void FailReads();
   void RefreshMembers();
   void CheckPromotions(const MemberList& members) const;
@@ -224,8 +227,8 @@
                         const AppendResponse& response);
   void OnSnapshotOffer(const RaftMessage& message, const SnapshotOffer& offer);
   bool AcceptEntries(const AppendRequest& request);
-  bool AdmitTerm(const RaftMessage& message);
-  bool LeaderHeardLately() const;
+  bool CheckTerm(const RaftMessage& message);
+  bool HeardFromLeaderRecently() const;
 
   RaftOptions options;
   HardState hard;
@@ -239,17 +242,17 @@
   Time now;
   Time election_deadline;
   Time heartbeat_due;
-  Time leader_heard;
+  Time last_leader_contact;
   Time transfer_until{};
   MemberId transfer_to = 0;
   std::map<MemberId, bool> votes;
   std::map<MemberId, Progress> progress;
-  std::vector<PendingRead> reads;  ///< Waiting for a quorum.
-  std::vector<PendingRead>
-      confirmed_reads;  ///< Waiting for their index to be applied.
+  std::vector<PendingRead> reads;  ///< Not yet confirmed by a quorum.
+  /// Confirmed, but their index is not applied yet.
+  std::vector<PendingRead> confirmed_reads;
   std::uint64_t read_round = 0;
-  Index term_start =
-      0;  ///< Index of the no-op with which this leader's term began.
+  Index term_start = 0;  ///< Index of the no-op entry that this leader appended
+                         ///< at the start of its term.
   std::mt19937_64 random;
   std::uint64_t resend_count = 0;
   std::uint64_t batch_number = 1;
--- a/src/consensus/raftlog.h
+++ b/src/consensus/raftlog.h
@@ -9,9 +9,8 @@
 
 namespace papayarack::consensus {
 
-/// The entries since the last snapshot, in memory; the durable copy is the
-/// owner's. Its size is bounded by the snapshots, not by the history. Thread
-/// safety: none.
+/// In-memory log entries since the last snapshot; the owner keeps the durable
+/// copy. Its size is limited by taking snapshots. Thread safety: none.
 class RaftLog {
  public:
   explicit RaftLog(SnapshotMeta snapshot)
@@ -22,7 +21,7 @@
     return this->snapshot_meta.index + this->entries.size();
   }
   Term LastTerm() const { return *this->TermAt(this->LastIndex()); }
-  /// Empty when the index lies before the snapshot or beyond the end.
+  /// Empty if the index is before the snapshot or past the end of the log.
   std::optional<Term> TermAt(Index index) const;
   /// Precondition: FirstIndex() <= index <= LastIndex().
   std::size_t PayloadBytesAt(Index index) const {
@@ -30,20 +29,22 @@
   }
   /// Precondition: entry.index == LastIndex() + 1.
   void Append(Entry entry);
-  /// Removes everything from `from` on. Precondition: from >= FirstIndex().
+  /// Removes all entries from index `from` on. Precondition: from >=
+  /// FirstIndex().
   void TruncateFrom(Index from);
-  /// Entries from `first` on, until `max_bytes` of payload; at least one when
-  /// there is one.
+  /// Entries from `first` to `last`, up to `max_bytes` of payload; always at
+  /// least one if any exists.
   std::vector<Entry> Slice(Index first, Index last,
                            std::size_t max_bytes) const;
-  /// Forgets entries up to the snapshot's index. Precondition: that index is in
+  /// Removes entries up to the snapshot's index. Precondition: that index is in
   /// the log.
   void Compact(SnapshotMeta snapshot);
-  /// Replaces everything by a snapshot.
+  /// Removes all entries and continues from a snapshot.
   void Reset(SnapshotMeta snapshot);
-  /// The latest members in the log, committed or not, else the snapshot's.
+  /// The latest member list in the log, committed or not; the snapshot's if
+  /// there is none.
   MemberList LatestMembers() const;
-  /// The members as of `index`.
+  /// The member list in effect at `index`.
   MemberList MembersAt(Index index) const;
   /// Index of the latest kMembers entry, or the snapshot's index.
   Index LatestMembersIndex() const;
--- a/src/consensus/raftmessages.h
+++ b/src/consensus/raftmessages.h
@@ -11,7 +11,7 @@
 namespace papayarack::consensus {
 
 using GroupId = std::uint32_t;
-using MemberId = std::uint64_t;  ///< Zero names nobody.
+using MemberId = std::uint64_t;  ///< Zero means no member.
 using Term = std::uint64_t;
 using Index = std::uint64_t;  ///< The first entry of a group has index 1.
 
@@ -48,7 +48,8 @@
   std::vector<MemberId> Voters() const;
 };
 
-/// What must be on disk before a vote or an acknowledgement leaves.
+/// The part of the Raft state that must be on disk before a vote or an
+/// acknowledgement is sent.
 struct HardState {
   Term term = 0;
   MemberId vote = 0;
@@ -56,21 +57,23 @@
   bool operator==(const HardState&) const = default;
 };
 
-/// What a snapshot stands for.
+/// Describes the log prefix that a snapshot replaces.
 struct SnapshotMeta {
   Index index = 0;
   Term term = 0;
   MemberList members;
-  std::uint64_t blob_length =
-      0;  ///< Bytes of the blob store that belong to it.
+  /// Bytes of the blob store that the snapshot covers.
+  std::uint64_t blob_length = 0;
   std::uint64_t state_bytes = 0;
   MSGPACK_DEFINE(index, term, members, blob_length, state_bytes)
 };
 
-/// Asks for a vote, or with `pre_vote` whether a vote would be given.
+/// Requests a vote. With `pre_vote`, asks only whether the vote would be
+/// granted.
 struct VoteRequest {
   bool pre_vote = false;
-  bool transfer = false;  ///< The leader itself asked for this election.
+  bool transfer = false;  ///< The election was started by the leader, to
+                          ///< transfer leadership.
   Index last_index = 0;
   Term last_term = 0;
   MSGPACK_DEFINE(pre_vote, transfer, last_index, last_term)
@@ -80,7 +83,8 @@
   bool granted = false;
   MSGPACK_DEFINE(pre_vote, granted)
 };
-/// Entries after (prev_index, prev_term); without entries, a heartbeat.
+/// Carries the entries after (prev_index, prev_term). Without entries it is a
+/// heartbeat.
 struct AppendRequest {
   Index prev_index = 0;
   Term prev_term = 0;
@@ -91,18 +95,20 @@
 };
 struct AppendResponse {
   bool success = false;
-  Index match = 0;  ///< On success: highest index known equal and synced. Else:
-                    ///< try from here.
+  Index match = 0;  ///< On success, the highest index that matches the leader's
+                    ///< log and is synced; on failure, the index after which
+                    ///< the leader should retry.
   std::uint64_t read_round = 0;
   MSGPACK_DEFINE(success, match, read_round)
 };
-/// The follower lacks entries that are gone: it must fetch the snapshot from
-/// the sender.
+/// Sent when the leader has compacted entries that the follower lacks. The
+/// follower must fetch the snapshot from the sender.
 struct SnapshotOffer {
   SnapshotMeta meta;
   MSGPACK_DEFINE(meta)
 };
-/// The leader hands over: stand for election at once.
+/// Sent by the leader to transfer leadership: the receiver starts an election
+/// at once.
 struct TimeoutNow {
   bool unused = false;
   MSGPACK_DEFINE(unused)
@@ -122,7 +128,7 @@
 
 /// Thread safety: any thread.
 std::string EncodeRaftMessage(const RaftMessage& message);
-/// Throws ResultError(kProtocol) for anything malformed.
+/// Throws ResultError(kProtocol) if `bytes` are malformed.
 RaftMessage DecodeRaftMessage(std::string_view bytes);
 
 }  // namespace papayarack::consensus
--- a/src/consensus/tests/raftcluster.h
+++ b/src/consensus/tests/raftcluster.h
@@ -19,42 +19,43 @@
 
 constexpr Duration kMillisecond{1000};
 
-/// A promise was broken; thrown by the oracle.
-struct BrokenPromise : std::logic_error {
+/// Thrown when two members disagree or an entry is applied out of order.
+struct InvariantViolation : std::logic_error {
   using std::logic_error::logic_error;
 };
 
-/// What every member must agree on: one entry for each index, one leader for
-/// each term.
+/// Checks across all members that each index has one committed entry and each
+/// term one leader.
 struct LogOracle {
   std::map<Index, Entry> agreed;
   std::map<Term, MemberId> leaders;
 
   void Committed(const Entry& entry) {
-    const auto [place, fresh] = this->agreed.try_emplace(entry.index, entry);
-    if (!fresh && (place->second.term != entry.term ||
-                   place->second.payload != entry.payload)) {
-      throw BrokenPromise("two entries were committed at index " +
-                          std::to_string(entry.index));
+    const auto [agreed_entry, fresh] =
+        this->agreed.try_emplace(entry.index, entry);
+    if (!fresh && (agreed_entry->second.term != entry.term ||
+                   agreed_entry->second.payload != entry.payload)) {
+      throw InvariantViolation("two entries were committed at index " +
+                               std::to_string(entry.index));
     }
   }
   void Leads(Term term, MemberId member) {
     if (this->leaders.try_emplace(term, member).first->second != member) {
-      throw BrokenPromise("two leaders in term " + std::to_string(term));
+      throw InvariantViolation("two leaders in term " + std::to_string(term));
     }
   }
 };
 
-/// A few real cores on faulty disks, joined by a list of messages that the test
-/// moves.
+/// A few real RaftCore instances on simulated disks. The test itself delivers
+/// the messages between them.
 class RaftCluster {
  public:
   struct Node {
     MemberId id = 0;
     storage::MemoryFileSystem files;
     std::unique_ptr<DurableLog> disk;
-    std::unique_ptr<RaftCore> core;  ///< Null while the member is down.
-    std::deque<RaftReady> unsynced;  ///< Handed to the writer, not yet on disk.
+    std::unique_ptr<RaftCore> core;  ///< Null while the member is stopped.
+    std::deque<RaftReady> unsynced;  ///< Taken from the core, not yet on disk.
     std::vector<std::string> state;  ///< Applied commands.
     Index applied = 0;
     Term applied_term = 0;
@@ -109,7 +110,8 @@
     node.files.Crash(kept_percent);
   }
 
-  /// Takes what the core wants and hands the durable part to the writer.
+  /// Takes one RaftReady from the core, sends and applies its contents, and
+  /// queues the writes until Sync.
   void Pump(MemberId id) {
     Node& node = this->nodes.at(id);
     if (node.core == nullptr) {
@@ -132,8 +134,8 @@
     }
   }
 
-  /// The writer's turn: all that waits goes to the disk, then what waited for
-  /// the sync leaves.
+  /// Writes everything queued to the disk, then sends the messages that waited
+  /// for it.
   void Sync(MemberId id) {
     Node& node = this->nodes.at(id);
     while (node.core != nullptr && !node.unsynced.empty()) {
@@ -162,8 +164,8 @@
     node.core->Compact(meta);
   }
 
-  /// Delivers the message at `position`; with `keep` it stays to be delivered
-  /// again.
+  /// Delivers the message at `position`. With `keep` the message stays in the
+  /// network and can be delivered again.
   void Deliver(std::size_t position, bool keep = false) {
     const RaftMessage message = this->network.at(position);
     if (!keep) {
@@ -175,7 +177,7 @@
     if (node == this->nodes.end() || node->second.core == nullptr || cut) {
       return;
     }
-    // Through the wire format, as between processes.
+    // Encoded and decoded as between processes.
     node->second.core->Step(DecodeRaftMessage(EncodeRaftMessage(message)),
                             this->now);
     this->Pump(message.to);
@@ -191,8 +193,9 @@
     }
   }
 
-  /// Everything works for a while: all messages arrive, all writes are synced.
-  void RunCalm(int rounds) {
+  /// Runs `rounds` of 20 ms in which all messages arrive and all writes are
+  /// synced.
+  void RunWithoutFaults(int rounds) {
     for (int round = 0; round < rounds; ++round) {
       this->TickAll(20 * kMillisecond);
       for (int burst = 0; burst < 20; ++burst) {
@@ -222,16 +225,16 @@
     return leader;
   }
 
-  /// Proposes at `id`; false when it does not lead. Acknowledged once applied
-  /// there in its term.
+  /// Proposes `payload` at member `id`; returns false if it does not lead. The
+  /// payload is acknowledged once that member applies it in the same term.
   bool Propose(MemberId id, const std::string& payload) {
     Node& node = this->nodes.at(id);
     if (node.core == nullptr || node.core->role() != RaftRole::kLeader) {
       return false;
     }
     try {
-      const ProposalPosition place = node.core->Propose(payload);
-      this->proposed[{id, place.index, place.term}] = payload;
+      const ProposalPosition agreed_entry = node.core->Propose(payload);
+      this->proposed[{id, agreed_entry.index, agreed_entry.term}] = payload;
     } catch (const ResultError&) {
       return false;
     }
@@ -241,7 +244,8 @@
 
   std::map<MemberId, Node> nodes;
   std::vector<RaftMessage> network;
-  std::set<std::pair<MemberId, MemberId>> cuts;  ///< From, to.
+  /// Cut connections, as pairs of sender and receiver.
+  std::set<std::pair<MemberId, MemberId>> cuts;
   std::set<std::string> acknowledged;
   LogOracle oracle;
   Time now{std::chrono::seconds(100)};
@@ -255,7 +259,7 @@
 
   void Apply(Node& node, const Entry& entry) {
     if (entry.index != node.applied + 1) {
-      throw BrokenPromise("an entry was applied out of order");
+      throw InvariantViolation("an entry was applied out of order");
     }
     node.applied = entry.index;
     node.applied_term = entry.term;
--- a/src/consensus/tests/raftcore_tests.cpp
+++ b/src/consensus/tests/raftcore_tests.cpp
@@ -15,8 +15,8 @@
   }
 }
 
-/// A cluster in which the answers of one follower reach the leader late, in
-/// their order, and which counts what the leader sends to that follower.
+/// Runs a cluster in which one follower's responses reach the leader late but
+/// in order. Counts the bytes that the leader sends to that follower.
 class SlowFollower {
  public:
   SlowFollower(RaftCluster& cluster, MemberId leader, MemberId follower,
@@ -38,7 +38,8 @@
     }
   }
 
-  std::size_t bytes_sent = 0;  ///< Payloads of entries, repeated ones too.
+  /// Payload bytes of entries, including resent ones.
+  std::size_t bytes_sent = 0;
 
  private:
   void MoveAll() {
@@ -84,106 +85,104 @@
 
 TEST_CASE("three members elect a leader and commit") {
   RaftCluster cluster(3);
-  cluster.RunCalm(100);
+  cluster.RunWithoutFaults(100);
   const MemberId leader = cluster.Leader();
   REQUIRE(leader != 0);
   REQUIRE(cluster.Propose(leader, "a"));
-  cluster.RunCalm(20);
+  cluster.RunWithoutFaults(20);
   CHECK(cluster.acknowledged.count("a") == 1);
   for (auto& [id, node] : cluster.nodes) {
     CHECK(node.state == std::vector<std::string>{"a"});
   }
 
-  SECTION("nothing is acknowledged that only the leader holds") {
+  SECTION("an entry that only the leader holds is not acknowledged") {
     CutOff(cluster, leader);
     cluster.Propose(leader, "alone");
-    cluster.RunCalm(10);
+    cluster.RunWithoutFaults(10);
     CHECK(cluster.acknowledged.count("alone") == 0);
   }
-  // Symptom: a cut-off leader serves stale reads and issues orders for hours.
-  // Sequence: the leader is isolated; the others go on. Cause: nobody tells it.
+  // Guards against an isolated leader that serves stale reads for hours,
+  // because it does not notice that the others have elected a new leader.
   SECTION(
       "an isolated leader steps down within two election timeouts and confirms "
       "no read") {
     CutOff(cluster, leader);
     cluster.nodes.at(leader).core->RequestRead(9, cluster.now);
-    cluster.RunCalm(65);
+    cluster.RunWithoutFaults(65);
     CHECK(cluster.nodes.at(leader).core->role() != RaftRole::kLeader);
     CHECK(cluster.nodes.at(leader).reads_ready.empty());
     const MemberId next = cluster.Leader();
     REQUIRE(next != 0);
     CHECK(next != leader);
     CHECK(cluster.Propose(next, "b"));
-    SECTION("and takes over what the others committed when it is back") {
+    SECTION("and applies what the others committed when it is back") {
       cluster.cuts.clear();
-      cluster.RunCalm(60);
+      cluster.RunWithoutFaults(60);
       CHECK(cluster.nodes.at(leader).state ==
             std::vector<std::string>{"a", "b"});
       CHECK(cluster.Leader() == next);
     }
   }
-  // Symptom: a healthy leader is deposed whenever a member comes back.
-  // Sequence: a follower is cut off for long and returns. Cause: it raised its
-  // term alone; pre-vote keeps it from doing so.
+  // Guards against a healthy leader that is deposed whenever a follower returns
+  // after a long partition. Without pre-vote, the follower would have raised
+  // its term meanwhile.
   SECTION("a follower that was cut off does not disturb the leader") {
     const MemberId follower = leader == 1 ? 2 : 1;
     const Term term = cluster.nodes.at(leader).core->term();
     CutOff(cluster, follower);
-    cluster.RunCalm(200);
+    cluster.RunWithoutFaults(200);
     cluster.cuts.clear();
-    cluster.RunCalm(50);
+    cluster.RunWithoutFaults(50);
     CHECK(cluster.Leader() == leader);
     CHECK(cluster.nodes.at(leader).core->term() == term);
   }
   SECTION("a read is confirmed by a quorum") {
     cluster.nodes.at(leader).core->RequestRead(5, cluster.now);
-    cluster.RunCalm(5);
+    cluster.RunWithoutFaults(5);
     CHECK(cluster.nodes.at(leader).reads_ready.count(5) == 1);
   }
-  SECTION("leadership is handed over on a graceful stop") {
+  SECTION("leadership is transferred on a graceful stop") {
     cluster.nodes.at(leader).core->TransferLeadership(cluster.now);
     cluster.Pump(leader);
-    cluster.RunCalm(5);
+    cluster.RunWithoutFaults(5);
     CHECK(cluster.Leader() != leader);
     CHECK(cluster.Leader() != 0);
   }
-  // Symptom: a member hundreds of entries behind never catches up. Sequence: it
-  // is down while entries are committed and compacted. Cause: the leader no
-  // longer has what it lacks.
-  SECTION("a member far behind takes the snapshot") {
+  // Guards against a member that never catches up after a stop, because the
+  // leader has compacted the entries that it lacks.
+  SECTION("a member far behind installs a snapshot") {
     const MemberId follower = leader == 1 ? 2 : 1;
     cluster.Crash(follower, 0);
     for (int i = 0; i < 300; ++i) {
       cluster.Propose(leader, "n" + std::to_string(i));
-      cluster.RunCalm(1);
+      cluster.RunWithoutFaults(1);
     }
     cluster.TakeSnapshot(leader);
     cluster.Start(follower);
-    cluster.RunCalm(100);
+    cluster.RunWithoutFaults(100);
     CHECK(cluster.nodes.at(follower).state.size() == 301);
     CHECK(cluster.nodes.at(follower).core->log().snapshot().index > 200);
   }
 }
 
-// Symptom: an acknowledged command vanishes. Sequence: a member commits entries
-// with the leader, restarts and so forgets how far is committed; the new leader
-// offers it a snapshot that ends before those entries; it takes it and clears
-// its log; then the other holder is lost. Cause: a snapshot that the log
-// already covers replaced the log. Found by fuzzing.
+// Guards against the loss of an acknowledged command: a member that restarts
+// forgets its commit index. If it then installed an offered snapshot that its
+// log already covers, it would drop the committed entries after it; they would
+// be lost once the other member that holds them fails.
 TEST_CASE(
     "a restarted member keeps its log when it is offered a snapshot that the "
     "log covers") {
   RaftCluster cluster(3);
-  cluster.RunCalm(100);
+  cluster.RunWithoutFaults(100);
   const MemberId leader = cluster.Leader();
   const MemberId follower = leader == 1 ? 2 : 1;
   REQUIRE(cluster.Propose(leader, "a"));
-  cluster.RunCalm(20);
+  cluster.RunWithoutFaults(20);
   const SnapshotMeta old = {cluster.nodes.at(leader).applied,
                             cluster.nodes.at(leader).applied_term,
                             cluster.nodes.at(leader).core->members(), 0, 0};
   REQUIRE(cluster.Propose(leader, "b"));
-  cluster.RunCalm(20);
+  cluster.RunWithoutFaults(20);
   const Index last = cluster.nodes.at(follower).core->log().LastIndex();
   const Term term = cluster.nodes.at(follower).core->term();
   cluster.Crash(follower, 0);
@@ -196,10 +195,11 @@
   CHECK(core.commit() == old.index);
 }
 
-// Symptom: a member stays behind for good. Sequence: it reached a later term in
-// an election that nobody else saw; the leader, of an earlier term, has
-// compacted what it lacks and only offers snapshots. Cause: it dropped those
-// offers as stale without saying its term. Found by fuzzing.
+// Guards against a member that never catches up: it reached a later term in an
+// election that no other member saw. The leader of the earlier term has
+// compacted the entries that it lacks and only offers snapshots. If the member
+// dropped these as stale without a response, the leader would never learn of
+// the later term.
 TEST_CASE(
     "a snapshot offer of an earlier term is answered with the later term") {
   RaftOptions options;
@@ -217,18 +217,14 @@
   CHECK(ready.after_sync.front().term == 6);
 }
 
-// Symptom: two leaders in one term. Sequence: a member votes, loses power,
-// comes back and votes for another candidate of the same term. Cause: it forgot
-// its vote, which left before it was on disk. The random histories alone did
-// not find this bug when it was planted.
-// Guards against a leader whose disk answers late or not at all: nothing was
-// acknowledged or read any more, though the other members had all of it synced.
-TEST_CASE("what a majority has synced does not wait for the leader's disk") {
+// Guards against a leader with a slow or stalled disk that acknowledges no
+// commands and serves no reads, although a majority has synced them.
+TEST_CASE("entries synced by a majority do not wait for the leader's disk") {
   RaftCluster cluster(3);
-  cluster.RunCalm(100);
+  cluster.RunWithoutFaults(100);
   const MemberId leader = cluster.Leader();
   REQUIRE(leader != 0);
-  const auto run_with_its_disk_stalled = [&](int rounds) {
+  const auto run_with_stalled_leader_disk = [&](int rounds) {
     for (int round = 0; round < rounds; ++round) {
       cluster.TickAll(20 * kMillisecond);
       for (auto& [id, node] : cluster.nodes) {
@@ -243,33 +239,37 @@
     }
   };
   REQUIRE(cluster.Propose(leader, "a"));
-  run_with_its_disk_stalled(20);
+  run_with_stalled_leader_disk(20);
   CHECK(cluster.acknowledged.count("a") == 1);
   CHECK(cluster.Leader() == leader);
-  SECTION("and can be read") {
+  SECTION("and reads are confirmed") {
     cluster.nodes.at(leader).core->RequestRead(9, cluster.now);
-    run_with_its_disk_stalled(20);
+    run_with_stalled_leader_disk(20);
     CHECK(cluster.nodes.at(leader).reads_ready.count(9) == 1);
   }
-  SECTION("and is there when the leader loses power before its disk goes on") {
+  SECTION(
+      "and they survive if the leader loses power before its disk recovers") {
     cluster.Crash(leader, 0);
-    cluster.RunCalm(100);
+    cluster.RunWithoutFaults(100);
     REQUIRE(cluster.Leader() != 0);
     CHECK(cluster.nodes.at(cluster.Leader()).state ==
           std::vector<std::string>{"a"});
     cluster.Start(leader);
-    cluster.RunCalm(100);
+    cluster.RunWithoutFaults(100);
     CHECK(cluster.nodes.at(leader).state == std::vector<std::string>{"a"});
   }
-  SECTION("but one of the others has to have it") {
+  SECTION("but an entry that no other member has is not acknowledged") {
     CutOff(cluster, leader);
     REQUIRE(cluster.Propose(leader, "b"));
-    run_with_its_disk_stalled(10);
+    run_with_stalled_leader_disk(10);
     CHECK(cluster.acknowledged.count("b") == 0);
   }
 }
 
-TEST_CASE("a vote survives the loss of power") {
+// Guards against two leaders in one term: a member votes, loses power before
+// the vote is on disk, and votes for another candidate of the same term. The
+// random histories do not cover this fault.
+TEST_CASE("a vote survives a power loss") {
   RaftOptions options;
   options.self = 2;
   SnapshotMeta first;
@@ -287,11 +287,10 @@
   CHECK_FALSE(std::get<VoteResponse>(again.after_sync.front().body).granted);
 }
 
-// Symptom: a committed entry is replaced. Sequence: a new leader finds an entry
-// of an older term on a majority, calls it committed and dies; another member
-// with a later entry of another term is elected and overwrites it. Cause: a
-// majority that holds an older term's entry is no promise (Raft, figure 8).
-TEST_CASE("an entry of an older term is not committed by counting copies") {
+// Guards against a committed entry that is overwritten (Raft, figure 8): a new
+// leader commits an entry of an older term because a majority holds it, then
+// fails. A member with an entry of a later term is elected and replaces it.
+TEST_CASE("an entry of an older term is not committed by counting replicas") {
   RaftOptions options;
   options.self = 1;
   SnapshotMeta first;
@@ -315,16 +314,16 @@
   CHECK(core.commit() == 2);
 }
 
-// Symptom: a leader's link stays full for half a minute after one large
-// configuration, and everything else that it sends comes late. Sequence: an
-// entry of 400 KB needs longer than two heartbeats to reach a follower; it is
-// sent again, whole, every two heartbeats, which fills the link further. Cause:
-// the pace of resends did not slow down while nothing was acknowledged.
-TEST_CASE("an entry whose acknowledgement is late is sent a few times only") {
+// Guards against a leader's link that stays full for half a minute after one
+// large entry: an entry of 400 KB needs longer than two heartbeats to reach a
+// follower. Without a backoff it would be sent again every two heartbeats,
+// which fills the link further.
+TEST_CASE(
+    "an entry is resent only a few times if its acknowledgement is late") {
   constexpr std::size_t kEntryBytes = 400'000;
   constexpr std::size_t kMostSends = 5;
   RaftCluster cluster(3);
-  cluster.RunCalm(100);
+  cluster.RunWithoutFaults(100);
   const MemberId leader = cluster.Leader();
   REQUIRE(leader != 0);
   const MemberId follower = leader == 1 ? 2 : 1;
@@ -332,7 +331,7 @@
   SlowFollower slow(cluster, leader, follower, 3000 * kMillisecond);
   REQUIRE(cluster.Propose(leader, std::string(kEntryBytes, 'c')));
 
-  SECTION("while it waits for the acknowledgement, and none after it") {
+  SECTION("before the acknowledgement, and never after it") {
     slow.Run(3500 * kMillisecond);
     INFO("bytes sent " << slow.bytes_sent);
     CHECK(slow.bytes_sent >= kEntryBytes);
@@ -345,20 +344,19 @@
   }
 }
 
-// After each large configuration the leader's link carried nearly twice what
-// its followers needed, 16 MB for two texts of 0.9 MB and five followers, and a
-// change sent next was acknowledged after 1.5 s. An entry of 0.9 MB needs 0.35
-// s through a link of 12 MB/s that five followers share, and was taken for lost
-// after two heartbeats whatever its size.
-TEST_CASE("an entry is sent again once it has had time to arrive") {
+// Guards against large entries that are sent twice although none was lost: an
+// entry of 0.9 MB takes 0.35 s on a link of 12 MB/s shared by five followers. A
+// fixed wait of two heartbeats would resend it, so that two such entries put 16
+// MB on the link and the next change is acknowledged only after 1.5 s.
+TEST_CASE("an entry is resent only after it has had time to arrive") {
   RaftCluster cluster(3);
-  cluster.RunCalm(100);
+  cluster.RunWithoutFaults(100);
   const MemberId leader = cluster.Leader();
   REQUIRE(leader != 0);
   const MemberId follower = leader == 1 ? 2 : 1;
   SlowFollower slow(cluster, leader, follower, 3000 * kMillisecond);
 
-  SECTION("a small one after two heartbeats") {
+  SECTION("a small entry after two heartbeats") {
     constexpr std::size_t kSmallBytes = 1000;
     REQUIRE(cluster.Propose(leader, std::string(kSmallBytes, 'c')));
     slow.Run(180 * kMillisecond);
@@ -366,7 +364,7 @@
     slow.Run(140 * kMillisecond);
     CHECK(slow.bytes_sent == 2 * kSmallBytes);
   }
-  SECTION("a large one after two heartbeats and a millisecond for each KB") {
+  SECTION("a large entry after two heartbeats and one millisecond per KB") {
     constexpr std::size_t kLargeBytes = 800'000;
     REQUIRE(cluster.Propose(leader, std::string(kLargeBytes, 'c')));
     slow.Run(980 * kMillisecond);
@@ -376,34 +374,34 @@
   }
 }
 
-// Symptom: a follower that was out of reach for a while holds up a commit, or a
-// handover, for seconds after it is back. Sequence: what the leader sent is
-// lost with the connection, several times; the pauses between resends have
-// grown; the connection returns. Cause: the pause belongs to a connection that
-// is gone.
-TEST_CASE("a follower that was out of reach gets what it lacks at once") {
+// Guards against a follower that delays a commit or a leadership transfer for
+// seconds after it is reachable again: while it was unreachable the resend
+// delay has grown, and the leader keeps waiting that long on the new
+// connection.
+TEST_CASE("a follower that was unreachable gets missing entries at once") {
   RaftCluster cluster(3);
-  cluster.RunCalm(100);
+  cluster.RunWithoutFaults(100);
   const MemberId leader = cluster.Leader();
   REQUIRE(leader != 0);
   const MemberId follower = leader == 1 ? 2 : 1;
   CutOff(cluster, follower);
   REQUIRE(cluster.Propose(leader, "a"));
-  // Out of reach for 2, 2.6 and 4 s, at different points of the pauses.
+  // Unreachable for 2, 2.6 and 4 s, which end at different points of the resend
+  // delay.
   const int rounds = GENERATE(100, 130, 200);
-  cluster.RunCalm(rounds);
+  cluster.RunWithoutFaults(rounds);
   cluster.cuts.clear();
-  cluster.RunCalm(20);
+  cluster.RunWithoutFaults(20);
   CHECK(cluster.nodes.at(follower).state == std::vector<std::string>{"a"});
   CHECK(cluster.Leader() == leader);
 }
 
-// Symptom: after an election the new leader's link is full. Sequence: it begins
-// its term by sending each follower its log from the start, up to 1 MB,
-// although they hold it. Cause: a fresh follower counted as silent since the
-// epoch, so its first entry was taken for lost before it was sent.
+// Guards against a new leader that fills its link with entries that its
+// followers hold: a follower without recorded progress counts as silent since
+// the epoch, so its first entry is taken for lost and the log is sent from the
+// start, up to 1 MB.
 TEST_CASE(
-    "a new leader sends its first entry alone and doubts it after two "
+    "a new leader sends only its first entry, and earlier ones after two "
     "heartbeats") {
   RaftOptions options;
   options.self = 1;
@@ -433,16 +431,15 @@
   CHECK(old_entries_sent() == 0);
   core.Tick(late + options.heartbeat);
   CHECK(old_entries_sent() == 0);
-  // To both followers: perhaps the first entry was lost.
+  // To both followers, as the first entry may be lost.
   core.Tick(late + 2 * options.heartbeat);
   CHECK(old_entries_sent() == 2);
 }
 
-// Symptom: one lost append makes a leader send megabytes. Sequence: 16 appends
-// of a large entry each are under way; the first is lost with its stream, and
-// the follower refuses the 15 behind it. Cause: each refusal started another
-// send of the same entries, though the first had already.
-TEST_CASE("many refusals of one gap are answered by one append") {
+// Guards against a leader that sends megabytes for one lost append: of 16 large
+// appends in flight the first is lost, and the follower refuses the other 15.
+// Only the first refusal may cause the entries to be sent again.
+TEST_CASE("many refusals for one gap cause one append") {
   constexpr std::size_t kEntryBytes = 400'000;
   constexpr int kAppends = 16;
   RaftOptions options;
@@ -473,7 +470,7 @@
   }
   take_sent();
   REQUIRE(sent.size() == kAppends);
-  // It has the first entry of the term only.
+  // The follower has only the first entry of the term.
   for (int i = 1; i < kAppends; ++i) {
     core.Step({0, 2, 1, 3, AppendResponse{false, 1, 0}}, late);
   }
@@ -481,7 +478,7 @@
   REQUIRE(sent.size() == 1);
   CHECK(sent.front().prev_index == 1);
 
-  SECTION("and it is sent again when it was lost too") {
+  SECTION("and it is sent again if it was lost too") {
     const Time again = late + 2 * options.heartbeat +
                        TimeToCarry(sent.front().entries.size() * kEntryBytes);
     std::size_t entries_sent = 0;
@@ -501,12 +498,11 @@
   }
 }
 
-// Symptom: a follower that is slow makes the leader hold tens of megabytes and
-// keeps its link full for seconds; heartbeats to the others wait behind them.
-// Sequence: large entries are proposed while acknowledgements are late; 16
-// appends of up to 1 MB each leave for every follower. Cause: appends under way
-// were bounded by their number and not by their bytes.
-TEST_CASE("bytes on the way to one follower are bounded") {
+// Guards against a slow follower that makes the leader hold tens of megabytes
+// and fills its link for seconds, which delays heartbeats to the others: with a
+// limit on the number of appends only, 16 appends of up to 1 MB each are in
+// flight to every follower.
+TEST_CASE("bytes in flight to one follower are limited") {
   constexpr std::size_t kEntryBytes = 400'000;
   constexpr std::size_t kProposals = 20;
   RaftOptions options;
@@ -514,11 +510,11 @@
   SnapshotMeta first;
   first.members.members = {{1, "m1", true}, {2, "m2", true}, {3, "m3", true}};
   std::size_t entry_bytes = kEntryBytes;
-  SECTION("where entries are large") {}
-  SECTION("where one is larger than the bound: it goes alone") {
+  SECTION("with large entries") {}
+  SECTION("with an entry larger than the limit, which is sent alone") {
     entry_bytes = options.max_inflight_bytes + 1;
   }
-  SECTION("where one is as large as the bound") {
+  SECTION("with an entry as large as the limit") {
     entry_bytes = options.max_inflight_bytes;
   }
   const std::size_t bound = std::max(options.max_inflight_bytes, entry_bytes);
@@ -554,12 +550,12 @@
   }
   CHECK(bytes_under_way <= bound);
   CHECK(bytes_under_way + entry_bytes > options.max_inflight_bytes);
-  // Heartbeats add nothing while the wait for an acknowledgement is not over.
+  // A heartbeat resends nothing before the wait for an acknowledgement is over.
   core.Tick(late + options.heartbeat);
   take_sent();
   CHECK(bytes_under_way <= bound);
 
-  // With each acknowledgement the next ones leave, at once.
+  // Each acknowledgement causes the next appends to be sent at once.
   Index acknowledged = 1;
   std::size_t least = SIZE_MAX;
   while (!under_way.empty()) {
@@ -583,59 +579,59 @@
 
 TEST_CASE("members change one at a time") {
   RaftCluster cluster(3);
-  cluster.RunCalm(100);
+  cluster.RunWithoutFaults(100);
   const MemberId leader = cluster.Leader();
   RaftCore& core = *cluster.nodes.at(leader).core;
   MemberList list = core.members();
   list.members.push_back({4, "m4", false});
 
-  SECTION("a learner must catch up, synced, before it votes") {
+  SECTION("a learner must have synced all committed entries before it votes") {
     core.ProposeMembers(list);
     cluster.Pump(leader);
-    cluster.RunCalm(10);
+    cluster.RunWithoutFaults(10);
     list.members.back().voter = true;
     CHECK_THROWS_AS(core.ProposeMembers(list), ResultError);
     cluster.AddNode(4, {});
-    cluster.RunCalm(50);
+    cluster.RunWithoutFaults(50);
     core.ProposeMembers(list);
     cluster.Pump(leader);
-    cluster.RunCalm(10);
+    cluster.RunWithoutFaults(10);
     CHECK(cluster.nodes.at(4).core->members().IsVoter(4));
-    SECTION("then an old one may go, also when it leads") {
+    SECTION("then an old member can be removed, even the leader") {
       std::erase_if(list.members, [leader](const Member& member) {
         return member.id == leader;
       });
       core.ProposeMembers(list);
       cluster.Pump(leader);
-      cluster.RunCalm(100);
+      cluster.RunWithoutFaults(100);
       const MemberId next = cluster.Leader();
       CHECK(next != 0);
       CHECK(next != leader);
       CHECK(cluster.Propose(next, "after"));
-      cluster.RunCalm(10);
+      cluster.RunWithoutFaults(10);
       CHECK(cluster.acknowledged.count("after") == 1);
     }
   }
-  SECTION("two changes at once are refused") {
+  SECTION("two changes in one proposal are refused") {
     list.members.push_back({5, "m5", false});
     CHECK_THROWS_AS(core.ProposeMembers(list), ResultError);
   }
-  SECTION("a second change waits for the first") {
+  SECTION("a second change is refused until the first is committed") {
     core.ProposeMembers(list);
     list.members.push_back({5, "m5", false});
     CHECK_THROWS_AS(core.ProposeMembers(list), ResultError);
   }
 }
 
-TEST_CASE("a data folder") {
+TEST_CASE("the identity of a data folder") {
   storage::MemoryFileSystem files;
   CHECK_FALSE(ReadIdentity(files).has_value());
   FormatFolder(files, {3, "kivu"}, {}, 1);
   CHECK(ReadIdentity(files)->member == 3);
-  // Symptom: acknowledged entries vanish after a disk was replaced. Sequence:
-  // the new, empty disk gets the old name and votes. Cause: it promises for
-  // entries that it no longer has.
-  SECTION("keeps its identity: it cannot be formatted again") {
+  // Guards against acknowledged entries that are lost after a disk was
+  // replaced: the new, empty disk gets the old member id and votes for a log
+  // that lacks the entries.
+  SECTION("is kept: the folder cannot be formatted again") {
     CHECK_THROWS_AS(FormatFolder(files, {3, "kivu"}, {}, 1), ResultError);
   }
 }
--- a/src/consensus/tests/raftfuzz_tests.cpp
+++ b/src/consensus/tests/raftfuzz_tests.cpp
@@ -7,8 +7,8 @@
 namespace papayarack::consensus {
 namespace {
 
-/// One step of a random history; the numbers choose among what is possible at
-/// that moment.
+/// One step of a random history. `kind` selects the operation, `first` and
+/// `second` its arguments.
 struct FuzzStep {
   std::uint32_t kind = 0;
   std::uint32_t first = 0;
@@ -48,18 +48,18 @@
     }
   }
 
-  /// Everything is mended; then each acknowledged command must be there once,
-  /// everywhere.
+  /// Removes all faults and lets the cluster recover. Then each acknowledged
+  /// command must have been applied once on every member.
   void Finish() {
     this->cluster.cuts.clear();
     for (MemberId id = 1; id <= kMembers; ++id) {
       this->cluster.Start(id);
     }
-    this->cluster.RunCalm(150);
+    this->cluster.RunWithoutFaults(150);
     const MemberId leader = this->cluster.Leader();
     RC_ASSERT(leader != 0U);
     RC_ASSERT(this->cluster.Propose(leader, "last"));
-    this->cluster.RunCalm(30);
+    this->cluster.RunWithoutFaults(30);
     const std::vector<std::string>& truth =
         this->cluster.nodes.at(leader).state;
     RC_ASSERT(!truth.empty() && truth.back() == "last");
@@ -78,7 +78,8 @@
       this->cluster.TickAll(30 * kMillisecond);
       return;
     }
-    // Mostly the oldest first; now and then any, doubled, or lost.
+    // Usually delivers the oldest message; sometimes reorders, duplicates or
+    // drops one.
     const bool reorder = step.second % 5 == 0;
     const std::size_t position = reorder ? step.first % network.size() : 0;
     if (step.second % 17 == 0) {
@@ -112,19 +113,20 @@
 namespace papayarack::consensus {
 
 TEST_CASE(
-    "whatever fails, what was acknowledged stands once and in one order") {
-  CHECK(rc::check(
-      "random histories of crashes, cuts, torn writes, loss and reordering",
-      [] {
-        const auto length = *rc::gen::inRange<std::size_t>(50, 800);
-        const auto steps = *rc::gen::container<std::vector<FuzzStep>>(
-            length, rc::gen::arbitrary<FuzzStep>());
-        RaftFuzz fuzz;
-        for (const FuzzStep& step : steps) {
-          fuzz.Do(step);
-        }
-        fuzz.Finish();
-      }));
+    "acknowledged commands are applied once and in one order despite faults") {
+  CHECK(
+      rc::check("random histories of crashes, partitions, torn writes, message "
+                "loss and reordering",
+                [] {
+                  const auto length = *rc::gen::inRange<std::size_t>(50, 800);
+                  const auto steps = *rc::gen::container<std::vector<FuzzStep>>(
+                      length, rc::gen::arbitrary<FuzzStep>());
+                  RaftFuzz fuzz;
+                  for (const FuzzStep& step : steps) {
+                    fuzz.Do(step);
+                  }
+                  fuzz.Finish();
+                }));
 }
 
 }  // namespace papayarack::consensus
