--- a/src/replication/internal/logwriter.cpp
+++ b/src/replication/internal/logwriter.cpp
@@ -7,15 +7,12 @@
 
 namespace papayarack::replication {
 namespace {
-constexpr std::chrono::milliseconds kWait{200};
+constexpr std::chrono::milliseconds kPollInterval{200};
 }  // namespace
 
 LogWriter::LogWriter(storage::FileSystem& files, consensus::DurableLog& log,
                      LogWriterHandlers handlers)
-    : files(files),
-      log(log),
-      handlers(std::move(handlers)),
-      ring(kMostWaiting) {
+    : files(files), log(log), handlers(std::move(handlers)), ring(kMaxQueued) {
   this->thread = std::thread([this] { this->Run(); });
 }
 
@@ -51,7 +48,7 @@
 
 void LogWriter::Run() {
   while (true) {
-    std::vector<Work> works = this->ring.PopAll(kWait);
+    std::vector<Work> works = this->ring.PopAll(kPollInterval);
     if (works.empty()) {
       if (this->ring.Closed()) {
         return;
@@ -71,8 +68,8 @@
 }
 
 void LogWriter::WriteAll(std::vector<Work>& works) {
-  // Group commit: neighbours that only add entries share one sync.
-  std::vector<consensus::RaftMessage> leaving;
+  // Group commit: consecutive batches that only append entries share one sync.
+  std::vector<consensus::RaftMessage> messages;
   consensus::RaftBatch last;
   std::vector<consensus::Entry> entries;
   const auto flush = [&] {
@@ -80,8 +77,8 @@
       this->log.Write({}, entries, {});
       entries.clear();
     }
-    if (!leaving.empty()) {
-      this->handlers.send(std::exchange(leaving, {}));
+    if (!messages.empty()) {
+      this->handlers.send(std::exchange(messages, {}));
     }
     if (last.number != 0) {
       this->handlers.synced(std::exchange(last, {}));
@@ -99,7 +96,7 @@
                                                 std::back_inserter(entries));
                             }
                             std::ranges::move(batch.after_sync,
-                                              std::back_inserter(leaving));
+                                              std::back_inserter(messages));
                             last = batch.batch;
                           },
                           [&](SnapshotWork& snapshot) {
--- a/src/replication/internal/membershipplanner.cpp
+++ b/src/replication/internal/membershipplanner.cpp
@@ -15,9 +15,9 @@
   return found != members.end() ? &*found : nullptr;
 }
 
-/// The voter whose address a newer identity now reports from, if any.
-const MemberHealth* PredecessorOf(Members members,
-                                  const MemberHealth& replacement) {
+/// The other voter with the address of `replacement`; null if none.
+const MemberHealth* LostVoterAtAddressOf(Members members,
+                                         const MemberHealth& replacement) {
   const auto found =
       std::ranges::find_if(members, [&replacement](const MemberHealth& member) {
         return member.voter && member.id != replacement.id &&
@@ -26,18 +26,18 @@
   return found != members.end() ? &*found : nullptr;
 }
 
-bool Counts(const MemberHealth& member) {
+bool IsLiveVoter(const MemberHealth& member) {
   return member.voter && member.alive && !member.leaving;
 }
 
-std::size_t LiveVoters(Members members) {
-  return static_cast<std::size_t>(std::ranges::count_if(members, Counts));
+std::size_t CountLiveVoters(Members members) {
+  return static_cast<std::size_t>(std::ranges::count_if(members, IsLiveVoter));
 }
 
-/// Whether the group wants one more voter than it has.
+/// Whether the group needs or may take another voter.
 bool WantsVoter(Members members, const GroupSize& size) {
-  const std::size_t live = LiveVoters(members);
-  return live < size.wanted || live < size.at_most;
+  const std::size_t live = CountLiveVoters(members);
+  return live < size.wanted || live < size.max_voters;
 }
 
 std::optional<MembershipChange> PlanPromotion(Members members,
@@ -47,7 +47,7 @@
         learner.leaving) {
       continue;
     }
-    if (const MemberHealth* lost = PredecessorOf(members, learner)) {
+    if (const MemberHealth* lost = LostVoterAtAddressOf(members, learner)) {
       return ReplaceLostVoter{lost->id, learner.id};
     }
     if (WantsVoter(members, size)) {
@@ -60,24 +60,24 @@
 std::optional<MembershipChange> PlanRemoval(Members members,
                                             const GroupSize& size,
                                             consensus::MemberId self) {
-  const bool enough = LiveVoters(members) >= size.wanted;
+  const bool enough = CountLiveVoters(members) >= size.wanted;
   for (const MemberHealth& member : members) {
-    const bool gone = !member.alive || member.leaving;
-    if (member.id == self || !gone) {
+    const bool unavailable = !member.alive || member.leaving;
+    if (member.id == self || !unavailable) {
       continue;
     }
     if (!member.voter || enough) {
       return RemoveMember{member.id};
     }
   }
-  const MemberHealth* own = FindMember(members, self);
-  if (own != nullptr && own->leaving && enough) {
+  const MemberHealth* self_health = FindMember(members, self);
+  if (self_health != nullptr && self_health->leaving && enough) {
     return RemoveMember{self};
   }
   return std::nullopt;
 }
 
-/// Zones with few members first, so that one zone's loss costs few votes.
+/// Prefers zones with few members, so that the loss of a zone costs few votes.
 std::optional<MembershipChange> PlanLearner(Members members,
                                             Candidates candidates,
                                             const GroupSize& size) {
@@ -94,11 +94,11 @@
     if (candidate.leaving || FindMember(members, candidate.id) != nullptr) {
       continue;
     }
-    const bool returns =
+    const bool same_address =
         std::ranges::any_of(members, [&candidate](const MemberHealth& member) {
           return member.address == candidate.address;
         });
-    if (returns) {
+    if (same_address) {
       return AddLearner{candidate.id, candidate.address};
     }
     if (best == nullptr || by_zone[candidate.zone] < by_zone[best->zone]) {
--- a/src/replication/internal/replicatedgroup.cpp
+++ b/src/replication/internal/replicatedgroup.cpp
@@ -9,7 +9,7 @@
 namespace papayarack::replication {
 namespace {
 
-/// A member's whole state on its way to one that lags.
+/// A member's whole state, sent to a member that is too far behind.
 struct ExportedState {
   consensus::SnapshotMeta meta;
   std::string state;
@@ -81,8 +81,9 @@
       if (const auto saved = std::exchange(this->snapshot_saved, {})) {
         saved();
       }
-      // One snapshot late: a member a few entries behind goes on with entries
-      // instead of fetching the whole state after each snapshot.
+      // Compacts only up to the previous snapshot, so that a member a few
+      // entries behind does not have to fetch the whole state after each
+      // snapshot.
       if (this->last_snapshot.has_value()) {
         this->core->Compact(*this->last_snapshot);
       }
@@ -100,37 +101,37 @@
 
 void ReplicatedGroup::Tick() {
   this->core->Tick(this->environment.now());
-  this->HandOverWhenDiskStalls();
+  this->TransferWhenDiskStalls();
   this->LogResends();
-  this->Pump();
+  this->ProcessReady();
 }
 
 void ReplicatedGroup::Synced(const consensus::RaftBatch& batch) {
-  this->disk_answered = this->environment.now();
+  this->last_disk_progress = this->environment.now();
   this->core->Persisted(batch);
-  this->Pump();
+  this->ProcessReady();
 }
 
-/// Symptom guarded against: a process stands still with all that runs on its
-/// loop, because more waits for its disk than the writer may hold. A leader
-/// writes most, so it makes way before that.
-void ReplicatedGroup::HandOverWhenDiskStalls() {
+/// Transfers leadership before the writer's queue is full, because Enqueue
+/// would then block the loop and everything that runs on it. A leader writes
+/// more than a follower.
+void ReplicatedGroup::TransferWhenDiskStalls() {
   const Time now = this->environment.now();
   const std::uint64_t waiting = this->writer->Waiting();
   if (waiting == 0) {
-    this->disk_answered = now;
+    this->last_disk_progress = now;
   }
-  const Duration silent = now - this->disk_answered;
-  if (!this->Leads() || waiting < LogWriter::kMostWaiting / 2 ||
-      silent < kDiskPatience) {
+  const Duration silent = now - this->last_disk_progress;
+  if (!this->Leads() || waiting < LogWriter::kMaxQueued / 2 ||
+      silent < kDiskStallTimeout) {
     return;
   }
   Log(LogLevel::kWarn, "group_disk_stalled",
       {{"group", this->options.group},
        {"waiting", waiting},
        {"silent_ms", silent.count() / 1000}});
-  // Asked again when this has led nowhere.
-  this->disk_answered = now;
+  // Tries again after kDiskStallTimeout if the transfer fails.
+  this->last_disk_progress = now;
   this->core->TransferLeadership(now);
 }
 
@@ -152,21 +153,21 @@
   const auto addressed = DecodeMessage<AddressedMessage>(message);
   const consensus::RaftMessage decoded =
       consensus::DecodeRaftMessage(addressed.message);
-  this->heard_from[decoded.from] = addressed.address;
+  this->sender_addresses[decoded.from] = addressed.address;
   this->core->Step(decoded, this->environment.now());
-  this->Pump();
+  this->ProcessReady();
 }
 
 void ReplicatedGroup::Propose(std::string command, ProposeDone done) {
   try {
     const consensus::ProposalPosition place =
         this->core->Propose(std::move(command));
-    this->waiting[place.index] = {place.term, std::move(done)};
+    this->pending_proposals[place.index] = {place.term, std::move(done)};
   } catch (const ResultError& error) {
     done(error.result(), {});
     return;
   }
-  this->Pump();
+  this->ProcessReady();
 }
 
 void ReplicatedGroup::Read(ReadDone done) {
@@ -184,7 +185,7 @@
   this->reads_current = std::exchange(this->reads_next, {});
   ++this->read_token;
   this->core->RequestRead(this->read_token, this->environment.now());
-  this->Pump();
+  this->ProcessReady();
 }
 
 void ReplicatedGroup::EndReadRound(std::uint64_t token, bool confirmed) {
@@ -199,10 +200,10 @@
   }
 }
 
-/// Not re-entered: what it calls may propose or read, and the outer loop takes
-/// that up.
-void ReplicatedGroup::Pump() {
-  if (std::exchange(this->pumping, true)) {
+/// Not reentrant: callbacks may propose or read, and the outer loop processes
+/// the resulting work.
+void ReplicatedGroup::ProcessReady() {
+  if (std::exchange(this->processing, true)) {
     return;
   }
   bool more = true;
@@ -227,7 +228,7 @@
     }
   }
   if (this->core->role() != consensus::RaftRole::kLeader) {
-    this->FailWaiting();
+    this->FailPendingProposals();
   }
   if (this->core->role() != this->last_role ||
       this->core->leader() != this->last_leader) {
@@ -240,7 +241,7 @@
          {"term", this->core->term()}});
   }
   this->MaybeSnapshot();
-  this->pumping = false;
+  this->processing = false;
 }
 
 void ReplicatedGroup::SendAll(
@@ -260,8 +261,8 @@
   if (found != nullptr) {
     return found->address;
   }
-  const auto heard = this->heard_from.find(member);
-  return heard != this->heard_from.end() ? heard->second : std::string();
+  const auto heard = this->sender_addresses.find(member);
+  return heard != this->sender_addresses.end() ? heard->second : std::string();
 }
 
 std::string ReplicatedGroup::LeaderAddress() const {
@@ -276,30 +277,31 @@
   if (entry.Kind() == consensus::EntryKind::kCommand) {
     reply = this->state.apply(entry.payload);
   }
-  const auto found = this->waiting.find(entry.index);
-  if (found == this->waiting.end()) {
+  const auto found = this->pending_proposals.find(entry.index);
+  if (found == this->pending_proposals.end()) {
     return;
   }
-  const Waiting waiter = std::move(found->second);
-  this->waiting.erase(found);
-  if (waiter.term == entry.term) {
-    waiter.done({}, reply);
+  const PendingProposal proposal = std::move(found->second);
+  this->pending_proposals.erase(found);
+  if (proposal.term == entry.term) {
+    proposal.done({}, reply);
   } else {
-    waiter.done({ResultCode::kUnknownOutcome, "another leader took over"}, {});
+    proposal.done({ResultCode::kUnknownOutcome, "another leader took over"},
+                  {});
   }
 }
 
-void ReplicatedGroup::FailWaiting() {
-  for (auto& [index, waiter] : std::exchange(this->waiting, {})) {
-    waiter.done({ResultCode::kUnknownOutcome,
-                 "leadership was lost before the command was confirmed"},
-                {});
+void ReplicatedGroup::FailPendingProposals() {
+  for (auto& [index, proposal] : std::exchange(this->pending_proposals, {})) {
+    proposal.done({ResultCode::kUnknownOutcome,
+                   "leadership was lost before the command was confirmed"},
+                  {});
   }
 }
 
 void ReplicatedGroup::MaybeSnapshot() {
-  // As much of the log as the last snapshot had, or saving the whole state
-  // would cost more than what happens to it.
+  // At least as many log bytes as the last snapshot's state, so that saving the
+  // whole state does not cost more than the commands themselves.
   const std::uint64_t due =
       std::max(this->limits.snapshot_after_bytes, this->snapshot_bytes);
   if (this->snapshot_under_way || this->fetch_under_way ||
@@ -358,7 +360,8 @@
       return;
     }
     this->writer->Drain();
-    // A snapshot under way is overtaken, and so is what it would move to files.
+    // The installed state supersedes a snapshot in progress and the files that
+    // it writes.
     this->snapshot_saved = {};
     const std::string local = this->state.import_files(fetched.state);
     this->log.InstallSnapshot(fetched.meta, local);
@@ -379,7 +382,7 @@
     this->environment.storage_failed(error.what());
     return;
   }
-  this->Pump();
+  this->ProcessReady();
 }
 
 std::vector<MemberHealth> ReplicatedGroup::Health(
@@ -387,18 +390,19 @@
   std::vector<MemberHealth> health;
   const Time now = this->environment.now();
   for (const consensus::Member& member : this->core->members().members) {
-    const bool own = member.id == this->options.self;
+    const bool is_self = member.id == this->options.self;
     const auto heard = this->core->LastHeard(member.id);
-    MemberHealth one;
-    one.id = member.id;
-    one.address = member.address;
-    one.voter = member.voter;
-    one.alive = own || (heard.has_value() && now - *heard < kDeadAfter);
-    one.caught_up =
-        own || (this->core->MatchOf(member.id) >= this->core->commit() &&
-                this->core->MatchOf(member.id) > 0);
-    one.leaving = Contains(leaving_addresses, member.address);
-    health.push_back(std::move(one));
+    MemberHealth member_health;
+    member_health.id = member.id;
+    member_health.address = member.address;
+    member_health.voter = member.voter;
+    member_health.alive =
+        is_self || (heard.has_value() && now - *heard < kDeadAfter);
+    member_health.caught_up =
+        is_self || (this->core->MatchOf(member.id) >= this->core->commit() &&
+                    this->core->MatchOf(member.id) > 0);
+    member_health.leaving = Contains(leaving_addresses, member.address);
+    health.push_back(std::move(member_health));
   }
   return health;
 }
@@ -413,15 +417,15 @@
   const MembershipChange change =
       PlanMembership(health, candidates, size, this->options.self);
   try {
-    this->Carry(change);
+    this->ProposeChange(change);
   } catch (const ResultError&) {
-    // Another change is under way, or the learner fell behind again: the next
-    // call plans anew from what then holds.
+    // Another change is in progress, or the learner fell behind again. The next
+    // call plans again from the state at that time.
   }
-  this->Pump();
+  this->ProcessReady();
 }
 
-void ReplicatedGroup::Carry(const MembershipChange& change) {
+void ReplicatedGroup::ProposeChange(const MembershipChange& change) {
   consensus::MemberList list = this->core->members();
   std::visit(
       Overloaded{
@@ -463,7 +467,7 @@
 
 void ReplicatedGroup::HandOver() {
   this->core->TransferLeadership(this->environment.now());
-  this->Pump();
+  this->ProcessReady();
 }
 
 }  // namespace papayarack::replication
--- a/src/replication/logwriter.h
+++ b/src/replication/logwriter.h
@@ -13,7 +13,7 @@
 
 namespace papayarack::replication {
 
-/// What the writer tells the deciding thread; called on the writer's thread.
+/// Callbacks of LogWriter, called on its own thread.
 struct LogWriterHandlers {
   std::function<void(const std::vector<consensus::RaftMessage>&)> send;
   std::function<void(const consensus::RaftBatch&)> synced;
@@ -21,14 +21,15 @@
   std::function<void(const std::string& reason)> failed;
 };
 
-/// The write-and-sync thread: batches go to the log in order, are synced, and
-/// only then do the messages that depend on them leave. After a failed write or
-/// sync it writes nothing more and nothing more leaves: what was not synced is
-/// never acknowledged. Thread safety: the methods are for the deciding thread.
+/// Writes and syncs the log on a thread of its own. Batches are written in
+/// order, and messages that depend on them are sent only after the sync. After
+/// a failed write or sync it writes and sends nothing more, so that entries
+/// that are not synced are never acknowledged. Thread safety: the methods may
+/// only be called on the owner's thread.
 class LogWriter {
  public:
-  /// Most that can wait; who offers more waits itself.
-  static constexpr std::size_t kMostWaiting = 1024;
+  /// Capacity of the queue. Enqueue blocks while the queue is full.
+  static constexpr std::size_t kMaxQueued = 1024;
 
   LogWriter(storage::FileSystem& files, consensus::DurableLog& log,
             LogWriterHandlers handlers);
@@ -36,17 +37,17 @@
   LogWriter(const LogWriter&) = delete;
   LogWriter& operator=(const LogWriter&) = delete;
 
-  /// False when the ring is full: the caller keeps the batch and offers it
-  /// again.
+  /// Queues the writes of `ready` and the messages that depend on them. Returns
+  /// false if the writer is closed.
   bool Enqueue(consensus::RaftReady& ready);
-  /// Saves a snapshot in the background, after syncing the blob files named and
-  /// calling `write_files`.
+  /// Saves a snapshot in the background, after syncing `blob_files` and calling
+  /// `write_files`.
   bool EnqueueSnapshot(consensus::SnapshotMeta meta, std::string state,
                        std::vector<std::string> blob_files,
                        std::function<void()> write_files = {});
-  /// What was offered and is not finished.
+  /// Number of queued batches and snapshots that are not finished.
   std::uint64_t Waiting() const { return this->offered - this->finished; }
-  /// Waits until everything offered is written. Only for installing a fetched
+  /// Waits until everything queued is written. Only for installing a fetched
   /// snapshot.
   void Drain();
 
--- a/src/replication/membershipplanner.h
+++ b/src/replication/membershipplanner.h
@@ -12,17 +12,17 @@
 
 namespace papayarack::replication {
 
-/// What the leader knows of a member of its group.
+/// What the leader knows about a member of its group.
 struct MemberHealth {
   consensus::MemberId id = 0;
   std::string address;
   bool voter = false;
   bool alive = false;      ///< Heard from within kDeadAfter.
-  bool caught_up = false;  ///< Holds all that is committed, synced.
-  bool leaving = false;    ///< An operator asked that it be emptied.
+  bool caught_up = false;  ///< Has synced all committed entries.
+  bool leaving = false;    ///< An operator requested its removal.
 };
 
-/// A process with a disk that could be a member, as it reported itself.
+/// A process with a disk that could become a member, as reported by itself.
 struct Candidate {
   consensus::MemberId id = 0;
   std::string address;
@@ -30,13 +30,14 @@
   bool leaving = false;
 };
 
-/// How many members a group wants.
+/// Target number of voters of a group.
 struct GroupSize {
-  std::size_t wanted = 3;   ///< 2f+1 for f losses borne at once.
-  std::size_t at_most = 9;  ///< Above `wanted`: take every candidate up to it.
+  std::size_t wanted = 3;  ///< 2f+1 to tolerate f simultaneous losses.
+  /// If above `wanted`, candidates are added up to this number.
+  std::size_t max_voters = 9;
 };
 
-/// The next membership change, one at a time.
+/// Possible membership changes; one is made at a time.
 struct NoChange {};
 struct AddLearner {
   consensus::MemberId id = 0;
@@ -45,7 +46,8 @@
 struct PromoteLearner {
   consensus::MemberId id = 0;
 };
-/// The member at this address lost its disk and came back as `heir`.
+/// Replaces a voter that lost its disk by the learner that runs at its address
+/// under a new id.
 struct ReplaceLostVoter {
   consensus::MemberId lost = 0;
   consensus::MemberId replacement = 0;
@@ -57,15 +59,16 @@
                                       ReplaceLostVoter, RemoveMember>;
 
 /// A member that was silent for this long is treated as dead. Longer than two
-/// elections (0.6 to 1.2 s each), shorter than the shortest time in which a
-/// replaced VM must count again (4.6 s) less the second that catching up takes.
+/// elections (0.6 to 1.2 s each), and short enough for a replaced VM to vote
+/// again within 4.6 s, the shortest time allowed, of which catching up takes
+/// one second.
 inline constexpr std::chrono::milliseconds kDeadAfter{2500};
 
-/// Decides how a group heals itself: a wiped member hands its vote to the
-/// identity that came back at its address, a VM that is gone is replaced by
-/// another, a leaving one goes last. A dead voter is removed only when `wanted`
-/// live voters remain: with fewer, the next loss would leave no quorum, and the
-/// dead one may come back. `self` is the leader, which removes itself last.
+/// Plans the next membership change to repair a group. A member with a wiped
+/// disk is replaced by the new identity at its address, and a VM that is gone
+/// by another. A dead or leaving voter is removed only when `wanted` live
+/// voters remain: with fewer, the next loss could leave no quorum, and a dead
+/// member may come back. `self` is the leader, which removes itself last.
 /// Thread safety: any thread.
 MembershipChange PlanMembership(std::span<const MemberHealth> members,
                                 std::span<const Candidate> candidates,
--- a/src/replication/replicatedgroup.h
+++ b/src/replication/replicatedgroup.h
@@ -17,14 +17,14 @@
 
 namespace papayarack::replication {
 
-/// A state as of now, for a snapshot. What is large can lie in files of its
-/// own, which are written first.
+/// The current state, for a snapshot. Large parts may be stored in separate
+/// files, which are written before the snapshot.
 struct SavedState {
   std::string bytes;
-  /// Writes and syncs what `bytes` refers to. Called on another thread; may be
-  /// empty.
+  /// Writes and syncs the files that `bytes` refers to. Called on another
+  /// thread; may be empty.
   std::function<void()> write_files;
-  /// The snapshot is durable. Called on the loop; may be empty.
+  /// Called on the loop once the snapshot is durable; may be empty.
   std::function<void()> saved;
 };
 
@@ -33,28 +33,30 @@
 struct ReplicatedState {
   std::function<std::string(std::string_view command)> apply;
   std::function<SavedState()> save;
-  /// Takes what `save` gave as `bytes`, here or on this disk before.
+  /// Restores the state from SavedState::bytes, saved by this process or an
+  /// earlier one on this disk.
   std::function<void(std::string_view state)> load;
-  /// The state with all that it refers to, for another member.
+  /// Serialises the state and the files that it refers to, for another member.
   std::function<std::string()> export_all;
-  /// Makes files of what another member exported; returns what `load` takes.
+  /// Stores the files from another member's export; returns the bytes for
+  /// `load`.
   std::function<std::string(std::string_view exported)> import_files;
 };
 
-/// What a group needs of its process.
+/// Functions that the process provides to a group.
 struct GroupEnvironment {
   std::string own_address;
   /// Sends one encoded message; may be lost. Called on the loop.
   std::function<void(const std::string& address, std::string message)> send;
-  /// Asks the member at `address` for its state; `done` takes the bytes that
-  /// ExportState gave there, or an empty text.
+  /// Fetches the state of the member at `address`. `done` is called with the
+  /// result of its ExportState, or an empty string on failure.
   std::function<void(const std::string& address,
                      std::function<void(std::string state)> done)>
       fetch_state;
-  /// Runs a function on the loop's thread, from any thread.
+  /// Runs a function on the loop's thread. May be called from any thread.
   std::function<void(std::function<void()>)> post;
   std::function<Time()> now;
-  /// The disk failed for good.
+  /// Called when the disk failed permanently.
   std::function<void(const std::string& reason)> storage_failed;
 };
 
@@ -63,24 +65,24 @@
   std::uint64_t snapshot_after_bytes = 4U << 20U;
 };
 
-/// One group on one member: Raft core, durable log, replicated state and the
-/// requests that wait. Thread safety: none, the loop's thread.
+/// One member of one replicated group: Raft core, durable log, replicated state
+/// and pending requests. Thread safety: none, the loop's thread.
 class ReplicatedGroup {
  public:
-  /// A leader hands over when its disk has answered nothing for this long, more
-  /// than any sync of a disk that works, and half of what can wait for it
-  /// waits.
-  static constexpr std::chrono::milliseconds kDiskPatience{1000};
+  /// A leader transfers leadership if its disk has completed nothing for this
+  /// time and the writer's queue is half full. Any sync of a working disk takes
+  /// less.
+  static constexpr std::chrono::milliseconds kDiskStallTimeout{1000};
 
-  /// Called with the state's reply, or with a refusal: kNotLeader means that
-  /// nothing was added, kUnknownOutcome that it may still take effect.
+  /// Called with the state's reply or with an error: kNotLeader if nothing was
+  /// appended, kUnknownOutcome if the command may still take effect.
   using ProposeDone =
       std::function<void(const Result& result, const std::string& reply)>;
-  /// Called with true once all that was committed when the read began is
-  /// applied here.
+  /// Called with true once everything committed at the time of the read is
+  /// applied on this member, with false if leadership is not confirmed.
   using ReadDone = std::function<void(bool confirmed)>;
 
-  /// Recovers from the folder. Throws ResultError(kStorageDamaged).
+  /// Recovers the state from `files`. Throws ResultError(kStorageDamaged).
   ReplicatedGroup(storage::FileSystem& files,
                   const consensus::RaftOptions& options,
                   const GroupLimits& limits, ReplicatedState state,
@@ -89,49 +91,50 @@
   ReplicatedGroup& operator=(const ReplicatedGroup&) = delete;
   ~ReplicatedGroup();
 
-  /// Lets time pass; call every 20 ms or so.
+  /// Handles timeouts; call about every 20 ms.
   void Tick();
-  /// Takes a message of another member. Throws ResultError(kProtocol).
+  /// Handles a message from another member. Throws ResultError(kProtocol).
   void Step(std::string_view message);
-  /// Whether all that the log holds is applied: the state is what a command
-  /// proposed now will find, wherever it is applied.
+  /// Whether all entries in the log are applied, so that a command proposed now
+  /// will be applied to the current state on every member.
   bool AllApplied() const {
     return this->applied_index == this->core->log().LastIndex();
   }
   void Propose(std::string command, ProposeDone done);
-  /// Confirms leadership for a read; reads that come while a confirmation is
-  /// under way share the next one.
+  /// Confirms leadership for a read. Reads requested while a confirmation is in
+  /// progress share the next one.
   void Read(ReadDone done);
-  /// Heals the group where this member leads; call every 100 ms or so.
+  /// Repairs the group's membership if this member leads; call about every 100
+  /// ms.
   void RepairMembership(std::span<const Candidate> candidates,
                         std::span<const std::string> leaving_addresses,
                         const GroupSize& size);
-  /// Hands leadership on before a graceful stop.
+  /// Transfers leadership to another member before a graceful stop.
   void HandOver();
-  /// This member's whole state, for a member that lags too far behind.
+  /// Serialises this member's whole state, for a member that is too far behind.
   std::string ExportState() const;
 
   bool Leads() const { return this->core->LeaderReady(); }
   consensus::Term term() const { return this->core->term(); }
-  /// Address of the leader, empty when none is known.
+  /// Address of the leader; empty if unknown.
   std::string LeaderAddress() const;
   const consensus::MemberList& members() const { return this->core->members(); }
   consensus::Index applied() const { return this->applied_index; }
 
  private:
-  struct Waiting {
+  struct PendingProposal {
     consensus::Term term = 0;
     ProposeDone done;
   };
 
-  void Pump();
-  /// The writer has synced `batch` and all before it.
+  void ProcessReady();
+  /// Called when the writer has synced `batch` and all before it.
   void Synced(const consensus::RaftBatch& batch);
-  void HandOverWhenDiskStalls();
+  void TransferWhenDiskStalls();
   void LogResends();
   void SendAll(const std::vector<consensus::RaftMessage>& messages);
   void Apply(const consensus::Entry& entry);
-  void FailWaiting();
+  void FailPendingProposals();
   void StartReadRound();
   void EndReadRound(std::uint64_t token, bool confirmed);
   void MaybeSnapshot();
@@ -140,7 +143,7 @@
   std::string AddressOf(consensus::MemberId member) const;
   std::vector<MemberHealth> Health(
       std::span<const std::string> leaving_addresses) const;
-  void Carry(const MembershipChange& change);
+  void ProposeChange(const MembershipChange& change);
 
   consensus::RaftOptions options;
   GroupLimits limits;
@@ -148,29 +151,33 @@
   GroupEnvironment environment;
   consensus::DurableLog log;
   std::unique_ptr<consensus::RaftCore> core;
-  std::map<consensus::Index, Waiting> waiting;
-  /// Addresses that senders of messages named. A learner gets the first part of
-  /// the log before any list of members; without this it could not acknowledge
-  /// it, and would be given up as silent.
-  std::map<consensus::MemberId, std::string> heard_from;
-  std::vector<ReadDone> reads_next;     ///< Wait for the next round.
-  std::vector<ReadDone> reads_current;  ///< Wait for the round under way.
+  std::map<consensus::Index, PendingProposal> pending_proposals;
+  /// Listening addresses of members that have sent messages. A learner receives
+  /// the first part of the log before any member list. Without these addresses
+  /// it could not acknowledge it and would be treated as dead.
+  std::map<consensus::MemberId, std::string> sender_addresses;
+  std::vector<ReadDone> reads_next;  ///< Wait for the next confirmation.
+  /// Wait for the confirmation in progress.
+  std::vector<ReadDone> reads_current;
   std::uint64_t read_token = 0;
   consensus::Index applied_index = 0;
   consensus::Term applied_term = 0;
   std::uint64_t bytes_since_snapshot = 0;
-  std::uint64_t snapshot_bytes = 0;  ///< Of the last snapshot's state.
+  std::uint64_t snapshot_bytes = 0;  ///< State size of the last snapshot.
   bool snapshot_under_way = false;
-  std::function<void()> snapshot_saved;  ///< Of the snapshot under way.
+  /// SavedState::saved of the snapshot in progress.
+  std::function<void()> snapshot_saved;
   std::optional<consensus::SnapshotMeta> last_snapshot;
   bool fetch_under_way = false;
-  bool pumping = false;
-  Time disk_answered{};  ///< Or nothing waited for it.
+  bool processing = false;
+  Time last_disk_progress{};  ///< When the disk last completed a write or was
+                              ///< idle.
   Time resends_logged{};
   std::uint64_t logged_resends = 0;
   consensus::RaftRole last_role = consensus::RaftRole::kFollower;
   consensus::MemberId last_leader = 0;
-  /// False once the group is gone, for what the writer still posts.
+  /// False once the group is destroyed; checked by callbacks that the writer
+  /// posted before.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
   std::unique_ptr<LogWriter> writer;
 };
--- a/src/replication/tests/membershipplanner_tests.cpp
+++ b/src/replication/tests/membershipplanner_tests.cpp
@@ -29,16 +29,16 @@
 
 }  // namespace
 
-TEST_CASE("a whole group is left alone") {
+TEST_CASE("a complete group is not changed") {
   const std::vector<MemberHealth> members = {Voter(1), Voter(2), Voter(3)};
   const std::vector<Candidate> candidates = {From(4, "10.0.0.4:1")};
   Expect<NoChange>(PlanMembership(members, candidates, kThree, 1));
 }
 
-// Symptom: a group loses its quorum at the next loss although the wiped VM is
-// back. Sequence: VM 3 loses its disk, comes back empty at its old address with
-// a new identity. Cause: nobody gives it the vote that its disk once had.
-TEST_CASE("a wiped member hands its vote to its new identity") {
+// Guards against a group that loses its quorum at the next loss: VM 3 lost its
+// disk and is back at its old address with a new identity, but the vote stays
+// with the old one.
+TEST_CASE("a wiped member is replaced by its new identity") {
   std::vector<MemberHealth> members = {Voter(1), Voter(2), Voter(3, false)};
   const std::vector<Candidate> candidates = {From(9, "10.0.0.3:1")};
   CHECK(Expect<AddLearner>(PlanMembership(members, candidates, kThree, 1)).id ==
@@ -55,10 +55,12 @@
 TEST_CASE("a VM that is gone is replaced by another and then removed") {
   std::vector<MemberHealth> members = {Voter(1), Voter(2), Voter(3, false)};
   const std::vector<Candidate> candidates = {From(4, "10.0.0.4:1")};
-  SECTION("never removed while nobody takes its place") {
+  SECTION("it is not removed while no candidate can replace it") {
     Expect<NoChange>(PlanMembership(members, {}, kThree, 1));
   }
-  SECTION("learner, voter, removal") {
+  SECTION(
+      "a candidate becomes learner, then voter, then the lost member is "
+      "removed") {
     CHECK(
         Expect<AddLearner>(PlanMembership(members, candidates, kThree, 1)).id ==
         4);
@@ -71,7 +73,7 @@
   }
 }
 
-TEST_CASE("a leaving member goes once others hold its vote") {
+TEST_CASE("a leaving member is removed once another has replaced it") {
   std::vector<MemberHealth> members = {Voter(1), Voter(2), Voter(3)};
   members[1].leaving = true;
   const std::vector<Candidate> candidates = {From(4, "10.0.0.4:1")};
@@ -87,7 +89,7 @@
   }
 }
 
-TEST_CASE("zones with few members come first") {
+TEST_CASE("candidates in zones with few members are preferred") {
   const std::vector<MemberHealth> members = {Voter(1), Voter(2)};
   const std::vector<Candidate> candidates = {
       From(1, "10.0.0.1:1", "a"), From(2, "10.0.0.2:1", "b"),
@@ -96,7 +98,7 @@
         5);
 }
 
-TEST_CASE("a group that may grow takes every candidate up to its bound") {
+TEST_CASE("a group that may grow adds candidates up to its limit") {
   const std::vector<MemberHealth> members = {Voter(1), Voter(2), Voter(3)};
   const std::vector<Candidate> candidates = {From(4, "10.0.0.4:1")};
   CHECK(Expect<AddLearner>(PlanMembership(members, candidates, {3, 9}, 1)).id ==
--- a/src/replication/tests/replicatedgroup_tests.cpp
+++ b/src/replication/tests/replicatedgroup_tests.cpp
@@ -10,7 +10,7 @@
 namespace papayarack::replication {
 namespace {
 
-/// What a group posts from its writer's thread, run by the test.
+/// Work posted by a group's writer thread, which the test runs.
 struct Loop {
   std::mutex mutex;
   std::deque<std::function<void()>> work;
@@ -35,14 +35,14 @@
   }
 };
 
-/// Members in one process; time is the test's.
+/// Members in one process, with simulated time.
 struct Cluster {
   struct Node {
     storage::StallingFiles files;
     std::string applied;
     std::unique_ptr<ReplicatedGroup> group;
     bool cut = false;
-    std::size_t saved_bytes = 0;  ///< Of all snapshots.
+    std::size_t saved_bytes = 0;  ///< Total state size of all snapshots.
   };
   Loop loop;
   GroupLimits limits;
@@ -131,7 +131,7 @@
 
 }  // namespace
 
-TEST_CASE("a group commits, reads and heals") {
+TEST_CASE("a group commits, reads and repairs its membership") {
   Cluster cluster;
   cluster.Start(1, "a:1", Three());
   cluster.Start(2, "b:1", Three());
@@ -149,30 +149,30 @@
     cluster.Leader()->group->Read([&read](bool ok) { read = ok; });
     CHECK(cluster.RunUntil([&] { return read; }));
   }
-  // Guards against a leader whose disk answers nothing: its loop would wait for
-  // the disk in the end, with all that else runs on it.
-  SECTION("a leader whose disk stands still hands over") {
+  // Guards against a leader with a stalled disk whose loop blocks, together
+  // with everything else that runs on it.
+  SECTION("a leader with a stalled disk transfers leadership") {
     Cluster::Node* leader = cluster.Leader();
     leader->files.Stall(true);
     std::uint64_t proposed = 0;
-    const auto handed_over = [&] {
+    const auto leadership_moved = [&] {
       return cluster.Leader() != nullptr && cluster.Leader() != leader;
     };
-    // One batch each: what a step proposes is written at once.
-    while (!handed_over() && proposed < LogWriter::kMostWaiting) {
+    // Each proposal is a batch of its own in the writer's queue.
+    while (!leadership_moved() && proposed < LogWriter::kMaxQueued) {
       for (int i = 0; i < 8; ++i, ++proposed) {
         leader->group->Propose("y", [](const Result&, const std::string&) {});
       }
       const Time next = cluster.now;
       cluster.RunUntil([&] { return cluster.now > next; });
     }
-    CHECK(proposed >= LogWriter::kMostWaiting / 2);
-    CHECK(cluster.RunUntil([&] { return handed_over(); }));
+    CHECK(proposed >= LogWriter::kMaxQueued / 2);
+    CHECK(cluster.RunUntil([&] { return leadership_moved(); }));
     leader->files.Stall(false);
   }
-  // Symptom: a cut-off leader shows an old state as the newest. Cause: it
-  // answers from memory without asking whether it still leads.
-  SECTION("a leader without its quorum refuses to read") {
+  // Guards against an isolated leader that serves a stale state because it
+  // answers from memory without confirming its leadership.
+  SECTION("a leader without a quorum refuses reads") {
     Cluster::Node* leader = cluster.Leader();
     leader->cut = true;
     bool answered = false;
@@ -184,11 +184,11 @@
     REQUIRE(cluster.RunUntil([&] { return answered; }));
     CHECK_FALSE(ok);
   }
-  // Symptom: a wiped VM never votes again and the next loss loses batches.
-  // Sequence: more is in the log than one message carries; the learner gets the
-  // first part, in which no list of members stands, as the first list came with
-  // the founding. Cause: it does not know where to send its acknowledgement.
-  SECTION("a learner acknowledges before it has seen a list of members") {
+  // Guards against a wiped VM that never votes again: the log is longer than
+  // one message, and the part that the learner gets first contains no member
+  // list, since the initial list is not in the log. Without a list it would not
+  // know where to send its acknowledgement.
+  SECTION("a learner acknowledges entries before it has a member list") {
     constexpr std::size_t kCommandBytes = 200000;
     for (int i = 0; i < 12; ++i) {
       cluster.Leader()->group->Propose(
@@ -208,9 +208,9 @@
       return false;
     }));
   }
-  // Symptom: the second loss stops the group although the first VM is back.
-  // Sequence: a follower loses its disk and comes back empty under a new
-  // identity at its old address. Cause: its vote stayed with the lost disk.
+  // Guards against a second loss that stops the group: a follower loses its
+  // disk and is back under a new identity at its old address, but the vote
+  // stays with the lost disk.
   SECTION("a wiped follower votes again under its new identity") {
     const std::string leader_address = cluster.Leader()->group->LeaderAddress();
     const std::string wiped = leader_address == "b:1" ? "c:1" : "b:1";
@@ -230,9 +230,9 @@
   }
 }
 
-// Guards against a member that is busy with snapshots alone: each saves the
-// whole state, however little of the log came since the last.
-TEST_CASE("snapshots of a growing state cost what happens to it") {
+// Guards against a member that spends all its time on snapshots, because each
+// saves the whole state even if the log has grown little since the last.
+TEST_CASE("snapshots of a growing state cost in proportion to its commands") {
   constexpr std::size_t kCommandBytes = 1000;
   constexpr int kCommands = 200;
   Cluster cluster;
