--- a/src/batches/batchmessages.h
+++ b/src/batches/batchmessages.h
@@ -8,11 +8,11 @@
 
 #include "global/messagecodec.h"
 
-/// Messages about batches: jobs of many items that are submitted at once and
-/// run later.
+/// Messages about batches: many items that are submitted together and run
+/// later.
 namespace papayarack::batches {
 
-/// One header that goes to the engine with an item.
+/// One header that is sent to the engine with an item.
 struct ItemHeader {
   std::string name;
   std::string value;
@@ -25,18 +25,19 @@
   std::string path;
   std::vector<ItemHeader> headers;
   std::string body;
-  std::uint64_t tokens = 0;  ///< Prompt and longest output together.
+  std::uint64_t tokens = 0;  ///< Prompt tokens plus maximum output tokens.
   MSGPACK_DEFINE(id, path, headers, body, tokens)
 };
 
-/// Submits a batch. Commits it whole or not at all.
+/// Submits a batch, which is accepted as a whole or not at all.
 struct SubmitBatch {
   std::string id;
   std::string host;
   std::string route_key;  ///< routes::Route::Key of its route.
   std::vector<ItemSpec> items;
-  std::uint64_t max_waiting_tokens = 0;  ///< Of the route; zero: no limit.
-  std::int64_t now_ms = 0;               ///< Wall clock, stamped by the leader.
+  /// Limit of the route; zero means none.
+  std::uint64_t max_waiting_tokens = 0;
+  std::int64_t now_ms = 0;  ///< Wall clock, stamped by the leader.
   MSGPACK_DEFINE(id, host, route_key, items, max_waiting_tokens, now_ms)
 };
 
@@ -48,10 +49,10 @@
   std::string batch;
   std::string item;
   std::uint8_t end = 0;
-  std::string text;  ///< kComplete: the data of all events, in lines.
+  std::string text;  ///< kComplete: the data of all events, one per line.
   std::uint32_t max_attempts = 1;
-  /// Names the run, the same in all copies of its report. Zero: of a release
-  /// that gave none.
+  /// Identifies the run; the same in all copies of its report. Zero if sent by
+  /// a release that does not set it.
   std::uint64_t run = 0;
   MSGPACK_DEFINE(batch, item, end, text, max_attempts, run)
 
@@ -61,21 +62,22 @@
   std::vector<ItemOutcome> outcomes;
   MSGPACK_DEFINE(outcomes)
 };
-/// Ends a batch: what is not listed yet will not run.
+/// Ends a batch: items without a result will not run.
 struct EndBatch {
   std::string id;
   MSGPACK_DEFINE(id)
 };
-/// Forgets batches that were submitted before this and have nothing left to do.
+/// Removes batches that were submitted before this time and have no items left
+/// to run.
 struct ForgetBatches {
   std::int64_t submitted_before_ms = 0;
   MSGPACK_DEFINE(submitted_before_ms)
 };
 
-/// One listed result; its position never changes.
+/// One recorded result. Its position in the batch's results never changes.
 struct ItemResult {
   std::string id;
-  bool complete = false;  ///< Else given up.
+  bool complete = false;  ///< False if the item was given up.
   std::string text;
   MSGPACK_DEFINE(id, complete, text)
 };
@@ -97,7 +99,7 @@
   MSGPACK_DEFINE(batch, item)
 };
 
-/// Names one item.
+/// Identifies one item.
 struct ItemRef {
   std::string batch;
   std::string item;
@@ -108,30 +110,30 @@
            std::tie(other.batch, other.item);
   }
 };
-/// What a run has made so far, for the engine that goes on with it.
+/// Output that a run has produced so far, for the engine that continues it.
 struct PartialText {
   std::string text;
   std::uint64_t last_event = 0;
   MSGPACK_DEFINE(text, last_event)
 };
-/// An item that a gate may run now.
+/// An item that is leased to a gate, which may run it now.
 struct LeasedItem {
   std::string batch;
   std::string host;
   std::string route_key;
   ItemSpec spec;
   PartialText partial;
-  std::int64_t due_in_ms = 0;  ///< From now until its result is due.
+  std::int64_t due_in_ms = 0;  ///< Time left until its result is due.
   MSGPACK_DEFINE(batch, host, route_key, spec, partial, due_in_ms)
 };
-/// A gate hands an item back, with what its run has made.
+/// An item that a gate returns, with the output of its run.
 struct ReturnedItem {
   ItemRef item;
   PartialText partial;
   MSGPACK_DEFINE(item, partial)
 };
-/// A gate asks for items; the leader keeps the call open until it has some, or
-/// until something that the gate holds must stop.
+/// A gate's request for items. The leader keeps the call open until it has
+/// items, or until an item that the gate holds must stop.
 struct PullItems {
   std::string gate;
   std::uint64_t incarnation = 0;
--- a/src/batches/batchstate.h
+++ b/src/batches/batchstate.h
@@ -17,7 +17,8 @@
 
 namespace papayarack::batches {
 
-/// What the job group's log holds. Alternatives are only ever added at the end.
+/// A command in the job group's log. New alternatives may only be added at the
+/// end.
 using BatchCommand =
     std::variant<SubmitBatch, ReportOutcomes, EndBatch, ForgetBatches>;
 
@@ -27,23 +28,23 @@
   MSGPACK_DEFINE(code)
 };
 
-/// Every batch, its items and its results: the durable state of the job group.
-/// An item is listed at most once, and a listed result never changes. Thread
+/// All batches, their items and results: the replicated state of the job group.
+/// An item gets at most one result, and a recorded result never changes. Thread
 /// safety: none.
 class BatchState {
  public:
   struct Item {
     ItemSpec spec;
-    bool listed = false;
+    bool has_result = false;
     std::uint32_t failures = 0;
-    /// Runs counted in `failures`, as far as they were named; a few.
+    /// Ids of the runs counted in `failures`; zero for a run without an id.
     std::vector<std::uint64_t> failed_runs;
-    MSGPACK_DEFINE(spec, listed, failures, failed_runs)
+    MSGPACK_DEFINE(spec, has_result, failures, failed_runs)
   };
-  /// A result; its text lies in ResultTexts.
-  struct Listed {
+  /// A recorded result; its text is stored in ResultTexts.
+  struct RecordedResult {
     std::string id;
-    bool complete = false;  ///< Else given up.
+    bool complete = false;  ///< False if the item was given up.
     TextRef text;
     MSGPACK_DEFINE(id, complete, text)
   };
@@ -53,77 +54,82 @@
     std::int64_t submitted_ms = 0;
     bool ended = false;
     std::vector<Item> items;
-    std::vector<Listed> results;  ///< In the order of their positions.
-    /// Positions in `items` in the order of their ids; not saved.
+    /// In the order in which they were recorded.
+    std::vector<RecordedResult> results;
+    /// Positions in `items`, sorted by item id; not saved.
     std::vector<std::uint32_t> by_id;
     MSGPACK_DEFINE(host, route_key, submitted_ms, ended, items, results)
 
     bool Open() const {
       return !this->ended && this->results.size() < this->items.size();
     }
-    /// Sorts `by_id`, to be called when `items` is complete.
+    /// Builds `by_id`. Call once `items` is complete.
     void IndexItems();
-    /// Where the first item of that id stands. Precondition: IndexItems was
+    /// Position of the first item with that id. Precondition: IndexItems was
     /// called.
     std::optional<std::size_t> PositionOf(std::string_view id) const;
     std::string_view IdAt(std::uint32_t position) const;
   };
-  /// What commands changed of what may run.
+  /// Batches and items whose state was changed by commands.
   struct Changes {
-    std::vector<std::string> batches;  ///< Opened or ended.
-    std::vector<ItemRef> items;        ///< Listed, or an attempt failed.
+    std::vector<std::string> batches;  ///< Submitted or ended.
+    /// A result was recorded or an attempt failed.
+    std::vector<ItemRef> items;
   };
 
-  /// Precondition: `files` outlives the book.
+  /// Precondition: `files` outlives this object.
   explicit BatchState(storage::FileSystem& files) : texts(files) {}
 
-  /// Applies one committed command; malformed ones change nothing.
+  /// Applies one committed command; a malformed one changes nothing.
   BatchReply Apply(std::string_view command);
-  /// The state without the texts of results, which ArchiveTexts moves to files.
+  /// Serialises the state without the result texts, which ArchiveTexts moves to
+  /// files.
   std::string Save() const;
-  /// Throws ResultError(kProtocol) on malformed bytes, and kStorageDamaged when
-  /// texts that they refer to are not in the files.
+  /// Restores a state from Save. Throws ResultError(kProtocol) on malformed
+  /// bytes, and kStorageDamaged when result texts are missing in the files.
   void Load(std::string_view bytes);
-  /// See ResultTexts::Archive; goes with the Save just before it.
+  /// See ResultTexts::Archive. Call right after the Save that it belongs to.
   std::function<void()> ArchiveTexts() { return this->texts.Archive(); }
   void TextsArchived() { this->texts.Archived(); }
-  /// The state with all texts, for another member.
+  /// Serialises the state with all result texts, for another member.
   std::string Export() const;
-  /// Takes an export's texts into files; returns what Load takes.
+  /// Stores the result texts of an export in files; returns the bytes for Load.
   std::string Import(std::string_view exported);
 
   const Batch* Find(const std::string& id) const;
   const Item* FindItem(const ItemRef& ref) const;
-  /// True while the item may run: accepted, not listed, batch not ended.
-  bool Waits(const ItemRef& ref) const;
+  /// Whether the item may run: accepted, without a result, and its batch not
+  /// ended.
+  bool IsWaiting(const ItemRef& ref) const;
   /// Every item that may run, oldest batch first.
   std::vector<ItemRef> WaitingItems() const;
-  /// Tokens of accepted items that are not listed, on one route.
+  /// Tokens of all items on one route that may run.
   std::uint64_t WaitingTokens(const std::string& route_key) const;
-  /// Results from position `after` on, up to `max_bytes` but at least one when
-  /// there is one. Empty when there is no such batch. Throws
-  /// ResultError(kStorageDamaged) when a text cannot be read back.
+  /// Results from position `after` on, up to `max_bytes` but at least one if
+  /// any exists. Empty if there is no such batch. Throws
+  /// ResultError(kStorageDamaged) if a text cannot be read.
   std::optional<ResultPage> Page(const std::string& id, std::uint64_t after,
                                  std::size_t max_bytes) const;
   const std::unordered_map<std::string, Batch>& batches() const {
-    return this->all;
+    return this->all_batches;
   }
-  /// All changes since the last call.
+  /// Returns all changes since the last call.
   Changes TakeChanges() { return std::exchange(this->changes, {}); }
 
  private:
-  BatchReply Do(const SubmitBatch& command);
-  BatchReply Do(const ReportOutcomes& command);
-  BatchReply Do(const EndBatch& command);
-  BatchReply Do(const ForgetBatches& command);
+  BatchReply Execute(const SubmitBatch& command);
+  BatchReply Execute(const ReportOutcomes& command);
+  BatchReply Execute(const EndBatch& command);
+  BatchReply Execute(const ForgetBatches& command);
   static void CountFailure(Item& item, std::uint64_t run);
-  void TakeOutcome(const ItemOutcome& outcome);
-  void List(Batch& batch, Item& item, bool complete, const std::string& text);
-  void Recount();
-  /// Offset of the oldest text that a batch refers to.
-  std::uint64_t FirstText() const;
+  void ApplyOutcome(const ItemOutcome& outcome);
+  void RecordResult(Batch& batch, Item& item, bool complete,
+                    const std::string& text);
+  void RecountWaitingTokens();
+  /// Offset of the first text that a batch refers to.
+  std::uint64_t FirstTextOffset() const;
 
-  std::unordered_map<std::string, Batch> all;
+  std::unordered_map<std::string, Batch> all_batches;
   ResultTexts texts;
   std::map<std::string, std::uint64_t> waiting_tokens;  ///< By route key.
   Changes changes;
--- a/src/batches/internal/batchstate.cpp
+++ b/src/batches/internal/batchstate.cpp
@@ -11,8 +11,8 @@
 namespace papayarack::batches {
 namespace {
 
-/// What another member needs.
-struct ExportedBook {
+/// The state with all result texts, for another member.
+struct ExportedBatches {
   std::string state;
   std::uint64_t first_text = 0;
   std::string texts;
@@ -57,19 +57,19 @@
 BatchReply BatchState::Apply(std::string_view command) {
   try {
     const auto decoded = DecodeVariant<BatchCommand>(command);
-    return std::visit([this](const auto& body) { return this->Do(body); },
+    return std::visit([this](const auto& body) { return this->Execute(body); },
                       decoded);
   } catch (const ResultError& error) {
-    // Every member sees the same bytes and skips them alike.
+    // All members read the same bytes, so all of them skip the command.
     Log(LogLevel::kError, "command_unreadable", {{"text", error.what()}});
     return ReplyWith(error.result().code);
   }
 }
 
-/// A batch that comes again is accepted again without effect, so that a client
-/// that saw no answer may resend it to any process.
-BatchReply BatchState::Do(const SubmitBatch& command) {
-  if (this->all.count(command.id) > 0) {
+/// Idempotent: a batch that is submitted again is accepted without effect, so
+/// that a client that got no answer may resend it to any process.
+BatchReply BatchState::Execute(const SubmitBatch& command) {
+  if (this->all_batches.count(command.id) > 0) {
     return ReplyWith(ResultCode::kOk);
   }
   std::uint64_t& waiting = this->waiting_tokens[command.route_key];
@@ -87,14 +87,14 @@
     batch.items.push_back({spec, false, 0, {}});
   }
   batch.IndexItems();
-  this->all.emplace(command.id, std::move(batch));
+  this->all_batches.emplace(command.id, std::move(batch));
   this->changes.batches.push_back(command.id);
   return ReplyWith(ResultCode::kOk);
 }
 
-void BatchState::List(Batch& batch, Item& item, bool complete,
-                      const std::string& text) {
-  item.listed = true;
+void BatchState::RecordResult(Batch& batch, Item& item, bool complete,
+                              const std::string& text) {
+  item.has_result = true;
   item.spec.body = {};
   item.spec.headers.clear();
   item.failed_runs.clear();
@@ -107,10 +107,10 @@
   }
 }
 
-/// Symptom guarded against: an item is given up with attempts left. A report
-/// whose answer is lost with the leader is sent to the next one, which may hold
-/// the first copy in its log; so each run counts once, however often it is
-/// reported.
+/// Counts each run once, however often it is reported. A report whose answer is
+/// lost with the leader is sent again to the next leader, which may hold the
+/// first copy in its log; if both counted, the item would be given up with
+/// attempts left.
 void BatchState::CountFailure(Item& item, std::uint64_t run) {
   const bool counted =
       std::ranges::find(item.failed_runs, run) != item.failed_runs.end();
@@ -121,46 +121,47 @@
   ++item.failures;
 }
 
-void BatchState::TakeOutcome(const ItemOutcome& outcome) {
-  const auto found = this->all.find(outcome.batch);
-  if (found == this->all.end()) {
+void BatchState::ApplyOutcome(const ItemOutcome& outcome) {
+  const auto found = this->all_batches.find(outcome.batch);
+  if (found == this->all_batches.end()) {
     return;
   }
   Batch& batch = found->second;
   const std::optional<std::size_t> position = batch.PositionOf(outcome.item);
-  // The first outcome stands: an item that ran twice, because a lease was
-  // thought lost, is listed once.
-  if (!position.has_value() || batch.items[*position].listed || batch.ended) {
+  // Only the first outcome counts: an item may run twice if its lease expired
+  // early.
+  if (!position.has_value() || batch.items[*position].has_result ||
+      batch.ended) {
     return;
   }
   Item& item = batch.items[*position];
   this->changes.items.push_back({outcome.batch, outcome.item});
   switch (outcome.End()) {
     case ItemEnd::kComplete:
-      this->List(batch, item, true, outcome.text);
+      this->RecordResult(batch, item, true, outcome.text);
       break;
     case ItemEnd::kGivenUp:
-      this->List(batch, item, false, {});
+      this->RecordResult(batch, item, false, {});
       break;
     case ItemEnd::kFailed:
       CountFailure(item, outcome.run);
       if (item.failures >= outcome.max_attempts) {
-        this->List(batch, item, false, {});
+        this->RecordResult(batch, item, false, {});
       }
       break;
   }
 }
 
-BatchReply BatchState::Do(const ReportOutcomes& command) {
+BatchReply BatchState::Execute(const ReportOutcomes& command) {
   for (const ItemOutcome& outcome : command.outcomes) {
-    this->TakeOutcome(outcome);
+    this->ApplyOutcome(outcome);
   }
   return ReplyWith(ResultCode::kOk);
 }
 
-BatchReply BatchState::Do(const EndBatch& command) {
-  const auto found = this->all.find(command.id);
-  if (found == this->all.end()) {
+BatchReply BatchState::Execute(const EndBatch& command) {
+  const auto found = this->all_batches.find(command.id);
+  if (found == this->all_batches.end()) {
     return ReplyWith(ResultCode::kNotFound);
   }
   Batch& batch = found->second;
@@ -169,7 +170,7 @@
   }
   std::uint64_t& waiting = this->waiting_tokens[batch.route_key];
   for (Item& item : batch.items) {
-    if (!item.listed) {
+    if (!item.has_result) {
       waiting -= std::min(waiting, item.spec.tokens);
       item.spec.body = {};
       item.spec.headers.clear();
@@ -180,19 +181,19 @@
   return ReplyWith(ResultCode::kOk);
 }
 
-BatchReply BatchState::Do(const ForgetBatches& command) {
-  std::erase_if(this->all, [&command](const auto& entry) {
+BatchReply BatchState::Execute(const ForgetBatches& command) {
+  std::erase_if(this->all_batches, [&command](const auto& entry) {
     return entry.second.submitted_ms < command.submitted_before_ms &&
            !entry.second.Open();
   });
-  this->texts.DropBefore(this->FirstText());
+  this->texts.DropBefore(this->FirstTextOffset());
   return ReplyWith(ResultCode::kOk);
 }
 
-std::uint64_t BatchState::FirstText() const {
+std::uint64_t BatchState::FirstTextOffset() const {
   std::uint64_t first = this->texts.length();
-  for (const auto& [id, batch] : this->all) {
-    for (const Listed& result : batch.results) {
+  for (const auto& [id, batch] : this->all_batches) {
+    for (const RecordedResult& result : batch.results) {
       if (result.text.length > 0) {
         first = std::min(first, result.text.offset);
       }
@@ -202,8 +203,8 @@
 }
 
 const BatchState::Batch* BatchState::Find(const std::string& id) const {
-  const auto found = this->all.find(id);
-  return found != this->all.end() ? &found->second : nullptr;
+  const auto found = this->all_batches.find(id);
+  return found != this->all_batches.end() ? &found->second : nullptr;
 }
 
 const BatchState::Item* BatchState::FindItem(const ItemRef& ref) const {
@@ -215,15 +216,15 @@
   return position.has_value() ? &batch->items[*position] : nullptr;
 }
 
-bool BatchState::Waits(const ItemRef& ref) const {
+bool BatchState::IsWaiting(const ItemRef& ref) const {
   const Batch* batch = this->Find(ref.batch);
   const Item* item = this->FindItem(ref);
-  return item != nullptr && !item->listed && !batch->ended;
+  return item != nullptr && !item->has_result && !batch->ended;
 }
 
 std::vector<ItemRef> BatchState::WaitingItems() const {
   std::vector<std::pair<std::int64_t, std::string>> order;
-  for (const auto& [id, batch] : this->all) {
+  for (const auto& [id, batch] : this->all_batches) {
     if (batch.Open()) {
       order.emplace_back(batch.submitted_ms, id);
     }
@@ -231,8 +232,8 @@
   std::ranges::sort(order);
   std::vector<ItemRef> waiting;
   for (const auto& [submitted, id] : order) {
-    for (const Item& item : this->all.at(id).items) {
-      if (!item.listed) {
+    for (const Item& item : this->all_batches.at(id).items) {
+      if (!item.has_result) {
         waiting.push_back({id, item.spec.id});
       }
     }
@@ -256,7 +257,7 @@
   page.total = batch->items.size();
   std::size_t bytes = 0;
   for (std::uint64_t i = after; i < batch->results.size(); ++i) {
-    const Listed& result = batch->results[i];
+    const RecordedResult& result = batch->results[i];
     bytes += result.text.length;
     if (!page.results.empty() && bytes > max_bytes) {
       break;
@@ -269,41 +270,42 @@
 }
 
 std::string BatchState::Save() const {
-  const std::tuple<const decltype(this->all)&, std::uint64_t> saved(
-      this->all, this->texts.length());
+  const std::tuple<const decltype(this->all_batches)&, std::uint64_t> saved(
+      this->all_batches, this->texts.length());
   return EncodeMessage(saved);
 }
 
 void BatchState::Load(std::string_view bytes) {
   auto [batches, texts_length] =
-      DecodeMessage<std::tuple<decltype(this->all), std::uint64_t>>(bytes);
-  this->all = std::move(batches);
-  for (auto& [id, batch] : this->all) {
+      DecodeMessage<std::tuple<decltype(this->all_batches), std::uint64_t>>(
+          bytes);
+  this->all_batches = std::move(batches);
+  for (auto& [id, batch] : this->all_batches) {
     batch.IndexItems();
   }
   this->texts.Open(texts_length);
-  this->Recount();
+  this->RecountWaitingTokens();
 }
 
 std::string BatchState::Export() const {
-  ExportedBook exported;
+  ExportedBatches exported;
   exported.state = this->Save();
-  exported.first_text = this->FirstText();
+  exported.first_text = this->FirstTextOffset();
   exported.texts = this->texts.Export(exported.first_text);
   return EncodeMessage(exported);
 }
 
 std::string BatchState::Import(std::string_view exported) {
-  auto book = DecodeMessage<ExportedBook>(exported);
-  this->texts.Import(book.first_text, book.texts);
-  return std::move(book.state);
+  auto decoded_state = DecodeMessage<ExportedBatches>(exported);
+  this->texts.Import(decoded_state.first_text, decoded_state.texts);
+  return std::move(decoded_state.state);
 }
 
-void BatchState::Recount() {
+void BatchState::RecountWaitingTokens() {
   this->waiting_tokens.clear();
-  for (const auto& [id, batch] : this->all) {
+  for (const auto& [id, batch] : this->all_batches) {
     for (const Item& item : batch.items) {
-      if (!item.listed && !batch.ended) {
+      if (!item.has_result && !batch.ended) {
         this->waiting_tokens[batch.route_key] += item.spec.tokens;
       }
     }
--- a/src/batches/internal/batchstore.cpp
+++ b/src/batches/internal/batchstore.cpp
@@ -14,18 +14,19 @@
 using coordination::kJobGroup;
 
 constexpr std::chrono::milliseconds kTick{20};
-constexpr std::chrono::milliseconds kWorkEvery{100};
-/// A pull without work is answered after this long, which renews its leases.
-constexpr std::chrono::milliseconds kPullHold{1000};
-/// Most bytes of texts in one page of results.
+constexpr std::chrono::milliseconds kTaskInterval{100};
+/// A pull for which no items arrive is answered after this time. The gate then
+/// pulls again, which renews its leases.
+constexpr std::chrono::milliseconds kPullTimeout{1000};
+/// Maximum bytes of result texts in one page.
 constexpr std::size_t kPageBytes = 900U << 10U;
-constexpr std::chrono::seconds kForgetEvery{20};
-/// Room for clocks that differ between VMs or jump by seconds.
+constexpr std::chrono::seconds kForgetInterval{20};
+/// Margin for clocks that differ between VMs or jump by seconds.
 constexpr std::chrono::milliseconds kClockMargin{60000};
-/// Due time of items whose route is not known at the moment.
+/// Result deadline of items whose route is currently unknown.
 constexpr std::chrono::milliseconds kUnknownDeadline{20000};
-/// The log since the snapshot before the last is held in memory, and so are the
-/// texts of results since the last.
+/// Limits memory use: the log since the last snapshot but one and the result
+/// texts since the last snapshot are kept in memory.
 constexpr std::uint64_t kSnapshotAfterBytes = 1U << 20U;
 
 }  // namespace
@@ -42,7 +43,7 @@
       server(server),
       members_changed(std::move(members_changed)),
       storage_failed(storage_failed),
-      book(files),
+      batch_state(files),
       timer(context) {
   this->environment = coordination::MakeGroupEnvironment(
       context, kJobGroup, options.address, peers, server, dispatch, this->group,
@@ -89,27 +90,30 @@
   raft.seed = this->options.random_seed;
   replication::ReplicatedState state;
   state.apply = [this](std::string_view command) {
-    const BatchReply reply = this->book.Apply(command);
+    const BatchReply reply = this->batch_state.Apply(command);
     this->OnApplied();
     return EncodeMessage(reply);
   };
   state.save = [this] {
-    std::string saved = this->book.Save();
-    return replication::SavedState{std::move(saved), this->book.ArchiveTexts(),
-                                   [this] { this->book.TextsArchived(); }};
+    std::string saved = this->batch_state.Save();
+    return replication::SavedState{
+        std::move(saved), this->batch_state.ArchiveTexts(),
+        [this] { this->batch_state.TextsArchived(); }};
   };
-  state.export_all = [this] { return this->book.Export(); };
+  state.export_all = [this] { return this->batch_state.Export(); };
   state.import_files = [this](std::string_view exported) {
-    return this->book.Import(exported);
+    return this->batch_state.Import(exported);
+  };
+  state.load = [this](std::string_view bytes) {
+    this->batch_state.Load(bytes);
   };
-  state.load = [this](std::string_view bytes) { this->book.Load(bytes); };
   this->group = std::make_unique<replication::ReplicatedGroup>(
       this->files, raft, replication::GroupLimits{kSnapshotAfterBytes},
       std::move(state), this->environment);
 }
 
-/// A process founds the group only if its own disk's identity is among the
-/// founders: a wiped disk has another identity and joins as a learner.
+/// A process creates the group only if the identity on its disk is among the
+/// founders. A wiped disk gets another identity and joins as a learner.
 void BatchStore::OnFleet(const coordination::FleetKnowledge& fleet) {
   this->candidates.clear();
   this->leaving_addresses.clear();
@@ -136,7 +140,7 @@
 void BatchStore::OnRoutes(routes::RouteTablePtr newer) {
   this->table = std::move(newer);
   if (this->led_term != 0) {
-    this->desk.Reassign(
+    this->leases.Reassign(
         [this](const ItemRef& item) { return this->ServicesOf(item); });
   }
 }
@@ -159,13 +163,13 @@
     }
     if (this->group != nullptr) {
       this->group->Tick();
-      this->Work(MonotonicNow());
+      this->RunPeriodicTasks(MonotonicNow());
     }
     this->Tick();
   });
 }
 
-void BatchStore::Work(Time now) {
+void BatchStore::RunPeriodicTasks(Time now) {
   if (!this->group->Leads()) {
     this->led_term = 0;
     for (const auto& [stream, reader] : std::exchange(this->readers, {})) {
@@ -177,11 +181,11 @@
     return;
   }
   if (this->led_term != this->group->term()) {
-    this->OnTerm(now);
+    this->OnNewTerm(now);
   }
-  if (now >= this->next_work) {
-    this->next_work = now + kWorkEvery;
-    this->desk.Expire(now);
+  if (now >= this->next_tasks) {
+    this->next_tasks = now + kTaskInterval;
+    this->leases.Expire(now);
     this->group->RepairMembership(this->candidates, this->leaving_addresses,
                                   {2 * this->options.losses_borne + 1, 0});
     std::vector<std::string> addresses;
@@ -189,25 +193,26 @@
       addresses.push_back(member.address);
     }
     this->members_changed(std::move(addresses), this->group->term());
-    this->GiveUpItemsOfGoneRoutes();
+    this->GiveUpItemsOfRemovedRoutes();
     this->ForgetOldBatches(now);
   }
   this->AnswerReaders(now);
   this->AnswerPullers(now);
 }
 
-/// A new leader knows what waits; who runs what it learns from the gates.
-void BatchStore::OnTerm(Time now) {
+/// A new leader knows which items wait from its state. It learns from the gates
+/// which of them are running.
+void BatchStore::OnNewTerm(Time now) {
   this->led_term = this->group->term();
   this->giving_up = false;
-  this->desk.Reset(now);
-  for (const ItemRef& item : this->book.WaitingItems()) {
+  this->leases.Reset(now);
+  for (const ItemRef& item : this->batch_state.WaitingItems()) {
     this->SyncLease(item, now);
   }
 }
 
-/// By the wall clock, which may differ between leaders by seconds: that changes
-/// the order of items, nothing else.
+/// Uses the wall clock, which may differ by seconds between leaders. That only
+/// affects the order of items.
 Time BatchStore::DueOf(const BatchState::Batch& batch, Time now) const {
   const routes::Route* route =
       this->table != nullptr ? this->table->FindKey(batch.route_key) : nullptr;
@@ -228,7 +233,8 @@
   this->server->Finish(stream);
 }
 
-void BatchStore::Confirmed(StreamId stream, std::function<void()> read) {
+void BatchStore::AfterConfirmation(StreamId stream,
+                                   std::function<void()> read) {
   this->group->Read([this, stream, read = std::move(read)](bool confirmed) {
     if (confirmed) {
       read();
@@ -239,11 +245,11 @@
 }
 
 void BatchStore::ReplyConfirmed(StreamId stream) {
-  this->Confirmed(stream,
-                  [this, stream] { this->Reply(stream, ResultCode::kOk); });
+  this->AfterConfirmation(
+      stream, [this, stream] { this->Reply(stream, ResultCode::kOk); });
 }
 
-BatchStore::Content BatchStore::ContentOf(std::string_view bytes) {
+BatchStore::Fingerprint BatchStore::FingerprintOf(std::string_view bytes) {
   return {bytes.size(), std::hash<std::string_view>()(bytes)};
 }
 
@@ -263,22 +269,21 @@
       command, [this, stream](ResultCode code) { this->Reply(stream, code); });
 }
 
-/// Symptom guarded against: a store that is slow for a moment stays slow, its
-/// log and the links between members full. Whoever hears nothing in time sends
-/// the batch again, and each copy that came before the first was applied became
-/// an entry of its own, sent whole to every member. A copy of what is on its
-/// way waits for that.
+/// A copy of a batch that is not committed yet waits for the first one. A
+/// caller that gets no answer in time sends the batch again; if each copy
+/// became a log entry of its own, sent to every member, a short delay would
+/// fill the log and the links between members and so persist.
 void BatchStore::OnSubmit(StreamId stream, const std::string& body) {
   auto command = DecodeMessage<SubmitBatch>(body);
-  if (this->book.Find(command.id) != nullptr) {
+  if (this->batch_state.Find(command.id) != nullptr) {
     this->ReplyConfirmed(stream);
     return;
   }
   const std::string id = command.id;
-  const Content content = ContentOf(body);
+  const Fingerprint fingerprint = FingerprintOf(body);
   const auto under_way = this->submissions.find(id);
   if (under_way != this->submissions.end() &&
-      under_way->second.content == content) {
+      under_way->second.fingerprint == fingerprint) {
     under_way->second.streams.push_back(stream);
     return;
   }
@@ -286,13 +291,13 @@
   Log(LogLevel::kInfo, "batch_submitted",
       {{"batch", id},
        {"items", command.items.size()},
-       {"waiting_tokens", this->book.WaitingTokens(command.route_key)},
+       {"waiting_tokens", this->batch_state.WaitingTokens(command.route_key)},
        {"most_tokens", command.max_waiting_tokens}});
   if (under_way != this->submissions.end()) {
     this->Propose(stream, std::move(command));
     return;
   }
-  this->submissions[id] = {content, {stream}};
+  this->submissions[id] = {fingerprint, {stream}};
   this->ProposeThen(std::move(command), [this, id](ResultCode code) {
     const auto ended = this->submissions.extract(id);
     for (const StreamId waiting : ended.mapped().streams) {
@@ -301,40 +306,40 @@
   });
 }
 
-/// Symptom guarded against: items run that nobody wants any more, because their
-/// batch's end waits behind results that are committed late. The leader stops
-/// them as soon as the end is asked; an end that is not committed lets them run
-/// again. One that is asked again while the first is on its way waits for that.
+/// Stops the items as soon as the end is requested, because its commit may be
+/// delayed by results before it in the log. If the command is not committed,
+/// the items may run again. A repeated request waits for the first one.
 void BatchStore::OnEnd(StreamId stream, const std::string& body) {
   auto command = DecodeMessage<EndBatch>(body);
-  const BatchState::Batch* batch = this->book.Find(command.id);
+  const BatchState::Batch* batch = this->batch_state.Find(command.id);
   if (batch != nullptr && batch->ended) {
     this->ReplyConfirmed(stream);
     return;
   }
   const std::string id = command.id;
-  const auto [under_way, first] = this->ends.try_emplace(id);
+  const auto [under_way, first] = this->pending_ends.try_emplace(id);
   under_way->second.push_back(stream);
   if (!first) {
     return;
   }
-  const Time asked = MonotonicNow();
+  const Time requested_at = MonotonicNow();
   Log(LogLevel::kInfo, "batch_end_asked", {{"batch", id}});
-  this->SyncLeases(id, asked);
-  this->ProposeThen(std::move(command), [this, id, asked](ResultCode code) {
-    this->EndAnswered(id, code, asked);
-  });
+  this->SyncLeases(id, requested_at);
+  this->ProposeThen(std::move(command),
+                    [this, id, requested_at](ResultCode code) {
+                      this->FinishEnd(id, code, requested_at);
+                    });
 }
 
-void BatchStore::EndAnswered(const std::string& id, ResultCode code,
-                             Time asked) {
-  const auto ended = this->ends.extract(id);
+void BatchStore::FinishEnd(const std::string& id, ResultCode code,
+                           Time requested_at) {
+  const auto ended = this->pending_ends.extract(id);
   const Time now = MonotonicNow();
   Log(LogLevel::kInfo, "batch_end_answered",
       {{"batch", id},
        {"code", static_cast<int>(code)},
        {"callers", ended.mapped().size()},
-       {"took_ms", (now - asked).count() / 1000}});
+       {"took_ms", (now - requested_at).count() / 1000}});
   if (this->led_term != 0) {
     this->SyncLeases(id, now);
   }
@@ -345,10 +350,11 @@
 
 void BatchStore::OnBody(StreamId stream, const std::string& body) {
   const auto query = DecodeMessage<ReadItemBody>(body);
-  this->Confirmed(stream, [this, stream, query] {
+  this->AfterConfirmation(stream, [this, stream, query] {
     const ItemRef ref{query.batch, query.item};
-    if (this->book.Waits(ref)) {
-      this->Reply(stream, ResultCode::kOk, this->book.FindItem(ref)->spec.body);
+    if (this->batch_state.IsWaiting(ref)) {
+      this->Reply(stream, ResultCode::kOk,
+                  this->batch_state.FindItem(ref)->spec.body);
     } else {
       this->Reply(stream, ResultCode::kNotFound);
     }
@@ -360,8 +366,8 @@
   reader.query = DecodeMessage<ReadResults>(body);
   reader.until =
       MonotonicNow() + std::chrono::milliseconds(reader.query.wait_ms);
-  this->Confirmed(stream, [this, stream, reader] {
-    const BatchState::Batch* batch = this->book.Find(reader.query.id);
+  this->AfterConfirmation(stream, [this, stream, reader] {
+    const BatchState::Batch* batch = this->batch_state.Find(reader.query.id);
     const bool more_to_come = batch != nullptr && batch->Open() &&
                               batch->results.size() <= reader.query.after;
     if (more_to_come && reader.query.wait_ms > 0) {
@@ -375,9 +381,11 @@
 void BatchStore::AnswerReader(StreamId stream, const Reader& reader) {
   std::optional<ResultPage> page;
   try {
-    page = this->book.Page(reader.query.id, reader.query.after, kPageBytes);
+    page =
+        this->batch_state.Page(reader.query.id, reader.query.after, kPageBytes);
   } catch (const ResultError& error) {
-    // Another member may have it whole: this one stops leading.
+    // Another member may have an undamaged copy, so this one gives up
+    // leadership.
     Log(LogLevel::kError, "result_unreadable",
         {{"batch", reader.query.id}, {"text", error.what()}});
     this->Reply(stream, ResultCode::kStorageDamaged);
@@ -391,9 +399,9 @@
   }
 }
 
-/// A reader that waited in vain is answered only after leadership was confirmed
-/// anew: a VM that was suspended meanwhile would otherwise deny results that
-/// another leader has listed.
+/// A reader whose wait timed out is answered only after leadership is confirmed
+/// again. A VM that was suspended meanwhile would otherwise omit results that
+/// another leader has recorded.
 void BatchStore::AnswerReaders(Time now) {
   std::vector<std::pair<StreamId, Reader>> due;
   for (const auto& [stream, reader] : this->readers) {
@@ -403,15 +411,15 @@
   }
   for (const auto& [stream, reader] : due) {
     this->readers.erase(stream);
-    this->Confirmed(stream, [this, stream = stream, reader = reader] {
+    this->AfterConfirmation(stream, [this, stream = stream, reader = reader] {
       this->AnswerReader(stream, reader);
     });
   }
 }
 
-/// Brings readers and leases in line with what was just committed.
+/// Updates leases and answers readers after a command was applied.
 void BatchStore::OnApplied() {
-  const BatchState::Changes changes = this->book.TakeChanges();
+  const BatchState::Changes changes = this->batch_state.TakeChanges();
   if (this->led_term == 0) {
     return;
   }
@@ -429,16 +437,16 @@
 
 void BatchStore::AnswerReadersOf(const std::set<std::string>& changed) {
   for (auto reader = this->readers.begin(); reader != this->readers.end();) {
-    const bool news = changed.contains(reader->second.query.id);
-    if (news) {
+    const bool affected = changed.contains(reader->second.query.id);
+    if (affected) {
       this->AnswerReader(reader->first, reader->second);
     }
-    reader = news ? this->readers.erase(reader) : std::next(reader);
+    reader = affected ? this->readers.erase(reader) : std::next(reader);
   }
 }
 
 void BatchStore::SyncLeases(const std::string& id, Time now) {
-  const BatchState::Batch* batch = this->book.Find(id);
+  const BatchState::Batch* batch = this->batch_state.Find(id);
   if (batch == nullptr) {
     return;
   }
@@ -448,29 +456,32 @@
 }
 
 void BatchStore::SyncLease(const ItemRef& item, Time now) {
-  if (this->book.Waits(item) && !this->ends.contains(item.batch)) {
-    this->desk.Add(item, this->DueOf(*this->book.Find(item.batch), now),
-                   this->ServicesOf(item));
+  if (this->batch_state.IsWaiting(item) &&
+      !this->pending_ends.contains(item.batch)) {
+    this->leases.Add(item,
+                     this->DueOf(*this->batch_state.Find(item.batch), now),
+                     this->ServicesOf(item));
   } else {
-    this->desk.Remove(item, now);
+    this->leases.Remove(item, now);
   }
 }
 
 bool BatchStore::IsFinal(const ItemRef& ref) const {
-  const BatchState::Item* item = this->book.FindItem(ref);
-  return item != nullptr && (item->listed || this->book.Find(ref.batch)->ended);
+  const BatchState::Item* item = this->batch_state.FindItem(ref);
+  return item != nullptr &&
+         (item->has_result || this->batch_state.Find(ref.batch)->ended);
 }
 
 bool BatchStore::HasRoom(std::size_t report_bytes) const {
   return this->proposals.empty() ||
-         this->proposed_bytes + report_bytes <= kMostProposedBytes;
+         this->proposed_bytes + report_bytes <= kMaxProposedBytes;
 }
 
-/// Symptom guarded against: as for a batch, with the texts of a report, which a
-/// gate sends again together with what ended meanwhile. What has its outcome
-/// already is left out, and of what is on its way the copy waits for that; only
-/// the rest becomes an entry. Only an outcome that is the same in all counts as
-/// a copy.
+/// Proposes only outcomes that are new. As with batches, a gate that gets no
+/// answer sends its report again, together with items that ended meanwhile.
+/// Items that already have a result are skipped, and copies of uncommitted
+/// outcomes wait for the first one. An outcome is a copy only if it is
+/// identical.
 void BatchStore::OnReport(StreamId stream, const std::string& body) {
   if (!this->HasRoom(body.size())) {
     Log(LogLevel::kInfo, "report_refused",
@@ -482,7 +493,7 @@
   }
   auto report = DecodeMessage<ReportOutcomes>(body);
   std::set<ProposalId> awaited;
-  ReportOutcomes fresh;
+  ReportOutcomes new_outcomes;
   ReportProposal proposal;
   const ProposalId id = ++this->last_proposal;
   for (ItemOutcome& outcome : report.outcomes) {
@@ -490,19 +501,19 @@
     if (this->IsFinal(ref)) {
       continue;
     }
-    const Content content = ContentOf(EncodeMessage(outcome));
+    const Fingerprint fingerprint = FingerprintOf(EncodeMessage(outcome));
     const auto [under_way, added] =
-        this->outcomes.try_emplace(ref, OutcomeUnderWay{content, id});
+        this->outcomes.try_emplace(ref, PendingOutcome{fingerprint, id});
     if (added) {
       proposal.items.push_back(ref);
     }
-    if (added || under_way->second.content != content) {
-      fresh.outcomes.push_back(std::move(outcome));
+    if (added || under_way->second.fingerprint != fingerprint) {
+      new_outcomes.outcomes.push_back(std::move(outcome));
     } else {
       awaited.insert(under_way->second.proposal);
     }
   }
-  if (!fresh.outcomes.empty()) {
+  if (!new_outcomes.outcomes.empty()) {
     awaited.insert(id);
     proposal.bytes = body.size();
     this->proposed_bytes += proposal.bytes;
@@ -516,44 +527,44 @@
   for (const ProposalId other : awaited) {
     this->proposals.at(other).reporters.push_back(stream);
   }
-  if (!fresh.outcomes.empty()) {
-    this->ProposeThen(std::move(fresh), [this, id](ResultCode code) {
-      this->EndReport(id, code);
+  if (!new_outcomes.outcomes.empty()) {
+    this->ProposeThen(std::move(new_outcomes), [this, id](ResultCode code) {
+      this->FinishReport(id, code);
     });
   }
 }
 
-void BatchStore::EndReport(ProposalId id, ResultCode code) {
+void BatchStore::FinishReport(ProposalId id, ResultCode code) {
   const auto ended = this->proposals.extract(id);
   this->proposed_bytes -= ended.mapped().bytes;
   for (const ItemRef& item : ended.mapped().items) {
     this->outcomes.erase(item);
   }
   for (const StreamId stream : ended.mapped().reporters) {
-    Reporter& reporter = this->reporters.at(stream);
+    PendingReport& reporter = this->reporters.at(stream);
     if (code != ResultCode::kOk) {
       reporter.code = code;
     }
-    if (--reporter.left == 0) {
-      const ResultCode sum = reporter.code;
+    if (--reporter.proposals_left == 0) {
+      const ResultCode report_code = reporter.code;
       this->reporters.erase(stream);
-      this->Reply(stream, sum);
+      this->Reply(stream, report_code);
     }
   }
 }
 
-/// A pull that hands something back is answered at once: the gate keeps the
-/// texts and sends them again until it knows that they arrived.
+/// A pull that returns items is answered at once, as the gate sends their texts
+/// again with each pull until one is answered.
 void BatchStore::OnPull(StreamId stream, const std::string& body) {
   const Time now = MonotonicNow();
   Puller puller{DecodeMessage<PullItems>(body), now};
   if (puller.pull.returned.empty()) {
-    puller.until = now + kPullHold;
+    puller.until = now + kPullTimeout;
   }
-  this->desk.Renew(puller.pull.gate, puller.pull.incarnation,
-                   puller.pull.holding, now);
+  this->leases.Renew(puller.pull.gate, puller.pull.incarnation,
+                     puller.pull.holding, now);
   for (const ReturnedItem& returned : puller.pull.returned) {
-    this->desk.Return(puller.pull.gate, returned);
+    this->leases.Return(puller.pull.gate, returned);
   }
   if (!this->AnswerPuller(stream, puller, now)) {
     this->pullers[stream] = std::move(puller);
@@ -561,8 +572,8 @@
 }
 
 Services BatchStore::ServicesOf(const ItemRef& item) const {
-  const BatchState::Batch* batch = this->book.Find(item.batch);
-  const BatchState::Item* found = this->book.FindItem(item);
+  const BatchState::Batch* batch = this->batch_state.Find(item.batch);
+  const BatchState::Item* found = this->batch_state.FindItem(item);
   if (found == nullptr || this->table == nullptr) {
     return {};
   }
@@ -580,21 +591,21 @@
 }
 
 LeasedItem BatchStore::Lease(const ItemRef& item, Time now) const {
-  const BatchState::Batch* batch = this->book.Find(item.batch);
+  const BatchState::Batch* batch = this->batch_state.Find(item.batch);
   LeasedItem leased;
   leased.batch = item.batch;
   leased.host = batch->host;
   leased.route_key = batch->route_key;
-  leased.spec = this->book.FindItem(item)->spec;
-  leased.partial = this->desk.PartialOf(item);
-  leased.due_in_ms = (this->desk.DueOf(item) - now).count() / 1000;
+  leased.spec = this->batch_state.FindItem(item)->spec;
+  leased.partial = this->leases.PartialOf(item);
+  leased.due_in_ms = (this->leases.DueOf(item) - now).count() / 1000;
   return leased;
 }
 
 bool BatchStore::AnswerPuller(StreamId stream, const Puller& puller, Time now) {
   PulledItems pulled;
-  pulled.stop = this->desk.ToStop(puller.pull.holding);
-  for (const ItemRef& item : this->desk.Take(
+  pulled.stop = this->leases.ToStop(puller.pull.holding);
+  for (const ItemRef& item : this->leases.Take(
            puller.pull.gate, puller.pull.service, puller.pull.room, now)) {
     pulled.items.push_back(this->Lease(item, now));
   }
@@ -605,10 +616,11 @@
   return true;
 }
 
-bool BatchStore::HasNews(const PullItems& pull,
-                         const std::set<ItemRef>& removed, Time now) const {
-  const bool items_wait = pull.room > 0 && this->desk.Settled(now) &&
-                          this->desk.WaitsFor(pull.service);
+bool BatchStore::ShouldAnswer(const PullItems& pull,
+                              const std::set<ItemRef>& removed,
+                              Time now) const {
+  const bool items_wait = pull.room > 0 && this->leases.Settled(now) &&
+                          this->leases.HasWaitingFor(pull.service);
   return items_wait ||
          std::ranges::any_of(pull.holding, [&removed](const ItemRef& item) {
            return removed.count(item) > 0;
@@ -616,29 +628,29 @@
 }
 
 void BatchStore::AnswerPullers(Time now) {
-  const std::set<ItemRef> removed = this->desk.TakeRemoved();
+  const std::set<ItemRef> removed = this->leases.TakeRemoved();
   for (auto waiting = this->pullers.begin(); waiting != this->pullers.end();) {
     const Puller& puller = waiting->second;
-    const bool answered =
-        (now >= puller.until || this->HasNews(puller.pull, removed, now)) &&
-        this->AnswerPuller(waiting->first, puller, now);
+    const bool answered = (now >= puller.until ||
+                           this->ShouldAnswer(puller.pull, removed, now)) &&
+                          this->AnswerPuller(waiting->first, puller, now);
     waiting = answered ? this->pullers.erase(waiting) : std::next(waiting);
   }
 }
 
-/// An item whose route was removed may not be run any more, and its client
-/// would wait for it in vain.
-void BatchStore::GiveUpItemsOfGoneRoutes() {
+/// Items whose route was removed can never run. Giving them up ends the wait of
+/// their client.
+void BatchStore::GiveUpItemsOfRemovedRoutes() {
   if (this->table == nullptr || this->giving_up) {
     return;
   }
   ReportOutcomes report;
-  for (const auto& [id, batch] : this->book.batches()) {
+  for (const auto& [id, batch] : this->batch_state.batches()) {
     if (!batch.Open() || this->table->FindKey(batch.route_key) != nullptr) {
       continue;
     }
     for (const BatchState::Item& item : batch.items) {
-      if (!item.listed) {
+      if (!item.has_result) {
         ItemOutcome outcome;
         outcome.batch = id;
         outcome.item = item.spec.id;
@@ -664,11 +676,11 @@
   if (now < this->next_forget) {
     return;
   }
-  this->next_forget = now + kForgetEvery;
+  this->next_forget = now + kForgetInterval;
   const std::int64_t before =
-      WallNow() - (this->options.keep_time + kClockMargin).count();
-  const bool any =
-      std::ranges::any_of(this->book.batches(), [before](const auto& entry) {
+      WallNow() - (this->options.retention + kClockMargin).count();
+  const bool any = std::ranges::any_of(
+      this->batch_state.batches(), [before](const auto& entry) {
         return entry.second.submitted_ms < before && !entry.second.Open();
       });
   if (any) {
--- a/src/batches/internal/leasescheduler.cpp
+++ b/src/batches/internal/leasescheduler.cpp
@@ -6,8 +6,8 @@
 namespace papayarack::batches {
 namespace {
 
-/// Weight of one run in the mean time from lease to result: about the last
-/// twenty items, so that it follows a wave.
+/// Weight of one run in the moving average of the time from lease to result. It
+/// averages over about twenty items, so that it follows load changes.
 constexpr double kRunWeight = 0.05;
 
 }  // namespace
@@ -15,8 +15,8 @@
 void LeaseScheduler::Reset(Time now) {
   this->queues.clear();
   this->queue_ids.clear();
-  this->known.clear();
-  this->held.clear();
+  this->items.clear();
+  this->held_by_gate.clear();
   this->removed.clear();
   this->gates.clear();
   this->settled = now + kSettleTime;
@@ -35,50 +35,51 @@
   return entry->second;
 }
 
-void LeaseScheduler::MoveTo(QueueId queue, const ItemRef& item, Known& entry) {
+void LeaseScheduler::MoveTo(QueueId queue, const ItemRef& item, Entry& entry) {
   if (queue == entry.queue) {
     return;
   }
-  const Place place = PlaceOf(item, entry);
-  if (this->queues[entry.queue].waiting.erase(place) > 0) {
-    this->queues[queue].waiting.insert(place);
+  const QueueKey key = QueueKeyOf(item, entry);
+  if (this->queues[entry.queue].waiting.erase(key) > 0) {
+    this->queues[queue].waiting.insert(key);
   }
   entry.queue = queue;
 }
 
 void LeaseScheduler::Add(const ItemRef& item, Time due,
                          const Services& services) {
-  const auto [entry, added] = this->known.try_emplace(item);
+  const auto [entry, added] = this->items.try_emplace(item);
   if (added) {
     entry->second.queue = this->QueueFor(services);
     entry->second.due = due;
-    entry->second.order = ++this->last_order;
+    entry->second.arrival = ++this->last_arrival;
     this->queues[entry->second.queue].waiting.insert(
-        PlaceOf(item, entry->second));
+        QueueKeyOf(item, entry->second));
   }
 }
 
-std::vector<ItemRef> LeaseScheduler::FirstOf(const std::string& service,
-                                             std::size_t most, Time soonest,
-                                             bool in_time) const {
-  std::vector<Place> places;
+std::vector<ItemRef> LeaseScheduler::FirstWaiting(const std::string& service,
+                                                  std::size_t max_count,
+                                                  Time earliest_end,
+                                                  bool in_time) const {
+  std::vector<QueueKey> keys;
   for (const Queue& queue : this->queues) {
     if (!queue.Serves(service)) {
       continue;
     }
-    const auto split = queue.waiting.lower_bound({soonest, 0, {}});
+    const auto split = queue.waiting.lower_bound({earliest_end, 0, {}});
     auto next = in_time ? split : queue.waiting.begin();
     const auto end = in_time ? queue.waiting.end() : split;
-    for (std::size_t i = 0; i < most && next != end; ++i, ++next) {
-      places.push_back(*next);
+    for (std::size_t i = 0; i < max_count && next != end; ++i, ++next) {
+      keys.push_back(*next);
     }
   }
-  std::ranges::sort(places);
-  places.resize(std::min(places.size(), most));
+  std::ranges::sort(keys);
+  keys.resize(std::min(keys.size(), max_count));
   std::vector<ItemRef> first;
-  first.reserve(places.size());
-  for (Place& place : places) {
-    first.push_back(std::move(std::get<ItemRef>(place)));
+  first.reserve(keys.size());
+  for (QueueKey& key : keys) {
+    first.push_back(std::move(std::get<ItemRef>(key)));
   }
   return first;
 }
@@ -90,17 +91,18 @@
   if (!this->Settled(now)) {
     return taken;
   }
-  const Time soonest = now + this->run_estimate;
-  taken = this->FirstOf(service, room, soonest, true);
-  std::ranges::move(this->FirstOf(service, room - taken.size(), soonest, false),
-                    std::back_inserter(taken));
+  const Time earliest_end = now + this->run_estimate;
+  taken = this->FirstWaiting(service, room, earliest_end, true);
+  std::ranges::move(
+      this->FirstWaiting(service, room - taken.size(), earliest_end, false),
+      std::back_inserter(taken));
   for (const ItemRef& item : taken) {
     this->Lease(item, gate, now);
   }
   return taken;
 }
 
-bool LeaseScheduler::WaitsFor(const std::string& service) const {
+bool LeaseScheduler::HasWaitingFor(const std::string& service) const {
   return std::ranges::any_of(this->queues, [&service](const Queue& queue) {
     return !queue.waiting.empty() && queue.Serves(service);
   });
@@ -115,51 +117,51 @@
 }
 
 void LeaseScheduler::Remove(const ItemRef& item, Time now) {
-  const auto found = this->known.find(item);
-  if (found == this->known.end()) {
+  const auto found = this->items.find(item);
+  if (found == this->items.end()) {
     return;
   }
-  Known& entry = found->second;
+  Entry& entry = found->second;
   if (!entry.holder.empty()) {
     const double mean =
         static_cast<double>(this->run_estimate.count()) * (1 - kRunWeight) +
-        static_cast<double>((now - entry.leased).count()) * kRunWeight;
+        static_cast<double>((now - entry.first_leased).count()) * kRunWeight;
     this->run_estimate = Duration(static_cast<std::int64_t>(mean));
-    this->EndHold(item, entry);
+    this->ReleaseLease(item, entry);
   }
-  this->queues[entry.queue].waiting.erase(PlaceOf(item, entry));
+  this->queues[entry.queue].waiting.erase(QueueKeyOf(item, entry));
   this->removed.insert(item);
-  this->known.erase(found);
+  this->items.erase(found);
 }
 
 void LeaseScheduler::Lease(const ItemRef& item, const std::string& gate,
                            Time now) {
-  Known& entry = this->known.at(item);
-  this->queues[entry.queue].waiting.erase(PlaceOf(item, entry));
+  Entry& entry = this->items.at(item);
+  this->queues[entry.queue].waiting.erase(QueueKeyOf(item, entry));
   entry.holder = gate;
-  this->held[gate].insert(item);
-  entry.leased = entry.leased == Time{} ? now : entry.leased;
+  this->held_by_gate[gate].insert(item);
+  entry.first_leased = entry.first_leased == Time{} ? now : entry.first_leased;
 }
 
-void LeaseScheduler::PutBack(const ItemRef& item) {
-  Known& entry = this->known.at(item);
-  this->EndHold(item, entry);
-  this->queues[entry.queue].waiting.insert(PlaceOf(item, entry));
+void LeaseScheduler::Requeue(const ItemRef& item) {
+  Entry& entry = this->items.at(item);
+  this->ReleaseLease(item, entry);
+  this->queues[entry.queue].waiting.insert(QueueKeyOf(item, entry));
 }
 
-void LeaseScheduler::EndHold(const ItemRef& item, Known& entry) {
-  const auto of_gate = this->held.find(entry.holder);
+void LeaseScheduler::ReleaseLease(const ItemRef& item, Entry& entry) {
+  const auto of_gate = this->held_by_gate.find(entry.holder);
   of_gate->second.erase(item);
   if (of_gate->second.empty()) {
-    this->held.erase(of_gate);
+    this->held_by_gate.erase(of_gate);
   }
   entry.holder.clear();
 }
 
-void LeaseScheduler::PutBackAllOf(const std::string& gate,
+void LeaseScheduler::RequeueAllOf(const std::string& gate,
                                   const std::set<ItemRef>& still_held) {
-  const auto of_gate = this->held.find(gate);
-  if (of_gate == this->held.end()) {
+  const auto of_gate = this->held_by_gate.find(gate);
+  if (of_gate == this->held_by_gate.end()) {
     return;
   }
   std::vector<ItemRef> back;
@@ -168,17 +170,17 @@
                          return still_held.count(item) == 0;
                        });
   for (const ItemRef& item : back) {
-    this->PutBack(item);
+    this->Requeue(item);
   }
 }
 
 void LeaseScheduler::Renew(const std::string& gate, std::uint64_t incarnation,
                            const std::vector<ItemRef>& holding, Time now) {
   this->gates[gate] = {incarnation, now};
-  this->PutBackAllOf(gate, {holding.begin(), holding.end()});
+  this->RequeueAllOf(gate, {holding.begin(), holding.end()});
   for (const ItemRef& item : holding) {
-    const auto found = this->known.find(item);
-    if (found != this->known.end() && found->second.holder.empty()) {
+    const auto found = this->items.find(item);
+    if (found != this->items.end() && found->second.holder.empty()) {
       this->Lease(item, gate, now);
     }
   }
@@ -186,18 +188,18 @@
 
 void LeaseScheduler::Return(const std::string& gate,
                             const ReturnedItem& returned) {
-  const auto found = this->known.find(returned.item);
-  if (found == this->known.end()) {
+  const auto found = this->items.find(returned.item);
+  if (found == this->items.end()) {
     return;
   }
-  // The gate no longer names it, so it may already wait again.
-  Known& entry = found->second;
+  // The gate no longer reports it as held, so it may already wait again.
+  Entry& entry = found->second;
   if (entry.holder.empty() || entry.holder == gate) {
     if (returned.partial.last_event > entry.partial.last_event) {
       entry.partial = returned.partial;
     }
     if (!entry.holder.empty()) {
-      this->PutBack(returned.item);
+      this->Requeue(returned.item);
     }
   }
 }
@@ -205,13 +207,13 @@
 void LeaseScheduler::Expire(Time now) {
   std::vector<std::string> silent;
   for (const auto& [name, gate] : this->gates) {
-    if (now - gate.heard > kLeaseTime) {
+    if (now - gate.last_heard > kLeaseTime) {
       silent.push_back(name);
     }
   }
   for (const std::string& name : silent) {
     this->gates.erase(name);
-    this->PutBackAllOf(name, {});
+    this->RequeueAllOf(name, {});
   }
 }
 
@@ -219,7 +221,7 @@
     const std::vector<ItemRef>& holding) const {
   std::vector<ItemRef> stop;
   for (const ItemRef& item : holding) {
-    if (this->known.count(item) == 0) {
+    if (this->items.count(item) == 0) {
       stop.push_back(item);
     }
   }
@@ -227,8 +229,8 @@
 }
 
 PartialText LeaseScheduler::PartialOf(const ItemRef& item) const {
-  const auto found = this->known.find(item);
-  return found != this->known.end() ? found->second.partial : PartialText{};
+  const auto found = this->items.find(item);
+  return found != this->items.end() ? found->second.partial : PartialText{};
 }
 
 }  // namespace papayarack::batches
--- a/src/batches/internal/resulttexts.cpp
+++ b/src/batches/internal/resulttexts.cpp
@@ -13,7 +13,8 @@
 namespace {
 
 constexpr const char* kPrefix = "results";
-/// Files are dropped whole, so one must not hold results of many minutes.
+/// Files are only deleted as a whole, so one must not hold the results of many
+/// minutes.
 constexpr std::uint64_t kSegmentBytes = 4U << 20U;
 
 }  // namespace
@@ -60,7 +61,7 @@
   if (this->recent.empty()) {
     return {};
   }
-  // Shared with the writing thread, which lets it go.
+  // Shared with the writing thread, which releases it.
   const auto bytes = std::make_shared<std::string>();
   bytes->reserve(this->InMemory());
   for (const auto& [offset, text] : this->recent) {
@@ -103,7 +104,8 @@
 
 void ResultTexts::Import(std::uint64_t first, std::string_view bytes) {
   const std::uint64_t end = first + bytes.size();
-  // What is in memory only was not archived and comes again.
+  // Texts that are only in memory were not archived; `bytes` contains them
+  // again.
   if (this->files_end < first) {
     this->blobs.SkipTo(first);
     this->files_end = first;
--- a/src/batches/leasescheduler.h
+++ b/src/batches/leasescheduler.h
@@ -14,65 +14,68 @@
 
 namespace papayarack::batches {
 
-/// Names of services, sorted.
+/// Service names, sorted.
 using Services = std::vector<std::string>;
 
-/// Who runs which waiting item, and which comes next: the soft half of the job
-/// group's leader. An item may run twice, when a lease is thought lost; it is
-/// listed once, so leases need no log entry.
+/// Leases waiting items to gates and decides which comes next. This state
+/// exists only on the job group's leader and is not replicated: an item may run
+/// twice if its lease expires early, but only its first result is recorded.
 ///
-/// Load pattern: for minutes more items come than the slots that online work
-/// leaves can run. First come first served would then finish every item just
-/// after it was due. Items that can still be in time go first, the earliest due
-/// of them first; those that cannot any more wait for spare room, and are run
-/// then. Thread safety: none.
+/// For minutes more items may arrive than can run in the slots that online work
+/// leaves free. First come, first served would then finish every item just
+/// after it was due. So items that can still finish in time go first, by due
+/// time; the others run when there are slots to spare. Thread safety: none.
 class LeaseScheduler {
  public:
-  /// A gate silent for this long lost its items: one hold of a pull (1 s) and a
-  /// reconnection.
+  /// The leases of a gate expire after this time without a pull. It covers one
+  /// long pull (1 s) and a reconnection.
   static constexpr std::chrono::milliseconds kLeaseTime{2500};
-  /// After a change of leader nothing is handed out until the gates have said
-  /// what they hold, or running items would be run twice.
+  /// After a leader change no items are leased for this time, in which the
+  /// gates report what they hold. Otherwise running items would be run twice.
   static constexpr std::chrono::milliseconds kSettleTime{1500};
-  /// From lease to result, before the first result came.
-  static constexpr std::chrono::milliseconds kFirstRunEstimate{5000};
+  /// Estimated time from lease to result before the first result is known.
+  static constexpr std::chrono::milliseconds kInitialRunEstimate{5000};
 
-  /// A new leader: forgets everything; Add what waits.
+  /// Clears all state when this member becomes leader. Call Add for each
+  /// waiting item afterwards.
   void Reset(Time now);
-  /// An item became ready to run, at replicas of `services`, which are sorted;
-  /// ignored when it is known.
+  /// Adds an item that may run on replicas of `services`, which are sorted.
+  /// Ignored if the item was added before.
   void Add(const ItemRef& item, Time due, const Services& services);
-  /// `services_of` says anew where each item may run.
+  /// Updates the services of every item with `services_of(item)`.
   template <typename ServicesOf>
   void Reassign(const ServicesOf& services_of) {
-    for (auto& [item, entry] : this->known) {
+    for (auto& [item, entry] : this->items) {
       this->MoveTo(this->QueueFor(services_of(item)), item, entry);
     }
   }
-  /// An item is listed or its batch ended: whoever holds it must stop.
+  /// Removes an item that has a result or whose batch ended. The gate that
+  /// holds it must stop it.
   void Remove(const ItemRef& item, Time now);
-  /// A gate reports what it holds; renews its leases. Items that it held and no
-  /// longer names wait again.
+  /// Renews the leases of a gate for the items in `holding`. Items that it held
+  /// and no longer reports wait again.
   void Renew(const std::string& gate, std::uint64_t incarnation,
              const std::vector<ItemRef>& holding, Time now);
-  /// A gate hands an item back.
+  /// Returns an item from a gate, with the output of its run.
   void Return(const std::string& gate, const ReturnedItem& returned);
-  /// Takes up to `room` items for a gate of `service`, those that can still be
-  /// in time first.
+  /// Leases up to `room` items to a gate of `service`, those that can still
+  /// finish in time first.
   std::vector<ItemRef> Take(const std::string& gate, const std::string& service,
                             std::size_t room, Time now);
-  /// Whether an item waits that may run at replicas of `service`.
-  bool WaitsFor(const std::string& service) const;
-  /// Items of silent gates wait again.
+  /// Whether a waiting item may run on replicas of `service`.
+  bool HasWaitingFor(const std::string& service) const;
+  /// Expires the leases of gates that did not renew them; their items wait
+  /// again.
   void Expire(Time now);
-  /// Items that `holding` names and that are no longer to run.
+  /// Items in `holding` that must not run any more.
   std::vector<ItemRef> ToStop(const std::vector<ItemRef>& holding) const;
-  /// What was removed since the last call: whoever holds it has to stop.
+  /// Returns items removed since the last call. The gates that hold them must
+  /// stop them.
   std::set<ItemRef> TakeRemoved() { return std::exchange(this->removed, {}); }
-  /// What earlier runs of the item made.
+  /// Output of earlier runs of the item.
   PartialText PartialOf(const ItemRef& item) const;
-  /// When the item is due. Precondition: it is known.
-  Time DueOf(const ItemRef& item) const { return this->known.at(item).due; }
+  /// When the item is due. Precondition: it was added and not removed.
+  Time DueOf(const ItemRef& item) const { return this->items.at(item).due; }
   std::size_t Waiting() const;
   bool Settled(Time now) const { return now >= this->settled; }
   Duration RunEstimate() const { return this->run_estimate; }
@@ -80,53 +83,54 @@
  private:
   struct Gate {
     std::uint64_t incarnation = 0;
-    Time heard{};
+    Time last_heard{};
   };
   using QueueId = std::size_t;
-  struct Known {
+  struct Entry {
     QueueId queue = 0;
     Time due{};
-    std::uint64_t order = 0;
-    std::string holder;  ///< Empty while it waits.
-    Time leased{};       ///< First time, whoever held it.
+    std::uint64_t arrival = 0;
+    std::string holder;   ///< Name of the gate; empty while the item waits.
+    Time first_leased{};  ///< Time of its first lease, by any gate.
     PartialText partial;
   };
-  /// By due time, then by order of arrival.
-  using Place = std::tuple<Time, std::uint64_t, ItemRef>;
-  /// Waiting items that the same services may run. Kept apart from the others,
-  /// so that items which nobody can run at the moment cost no gate a look.
+  /// Sorted by due time, then by order of arrival.
+  using QueueKey = std::tuple<Time, std::uint64_t, ItemRef>;
+  /// Waiting items that the same services may run. One queue per set of
+  /// services, so that a pull does not scan items that its service cannot run.
   struct Queue {
     Services services;
-    std::set<Place> waiting;
+    std::set<QueueKey> waiting;
 
     bool Serves(const std::string& service) const;
   };
 
   QueueId QueueFor(const Services& services);
-  void MoveTo(QueueId queue, const ItemRef& item, Known& entry);
-  /// The first `most` that `service` may run: those that can be in time at
-  /// `soonest`, or the others.
-  std::vector<ItemRef> FirstOf(const std::string& service, std::size_t most,
-                               Time soonest, bool in_time) const;
-  static Place PlaceOf(const ItemRef& item, const Known& known) {
-    return {known.due, known.order, item};
+  void MoveTo(QueueId queue, const ItemRef& item, Entry& entry);
+  /// The first `max_count` items that `service` may run, either those due at
+  /// `earliest_end` or later (`in_time`) or those due before.
+  std::vector<ItemRef> FirstWaiting(const std::string& service,
+                                    std::size_t max_count, Time earliest_end,
+                                    bool in_time) const;
+  static QueueKey QueueKeyOf(const ItemRef& item, const Entry& entry) {
+    return {entry.due, entry.arrival, item};
   }
   void Lease(const ItemRef& item, const std::string& gate, Time now);
-  void PutBack(const ItemRef& item);
-  /// Nobody holds the item any more. Precondition: it is held.
-  void EndHold(const ItemRef& item, Known& entry);
-  void PutBackAllOf(const std::string& gate,
+  void Requeue(const ItemRef& item);
+  /// Ends the lease of an item. Precondition: it is leased.
+  void ReleaseLease(const ItemRef& item, Entry& entry);
+  void RequeueAllOf(const std::string& gate,
                     const std::set<ItemRef>& still_held);
 
   std::vector<Queue> queues;  ///< By QueueId.
   std::map<Services, QueueId> queue_ids;
-  std::map<ItemRef, Known> known;                 ///< Waiting or held.
-  std::map<std::string, std::set<ItemRef>> held;  ///< By gate.
+  std::map<ItemRef, Entry> items;  ///< All items, waiting or leased.
+  std::map<std::string, std::set<ItemRef>> held_by_gate;  ///< By gate.
   std::set<ItemRef> removed;
   std::map<std::string, Gate> gates;
-  std::uint64_t last_order = 0;
+  std::uint64_t last_arrival = 0;
   Time settled{};
-  Duration run_estimate = kFirstRunEstimate;
+  Duration run_estimate = kInitialRunEstimate;
 };
 
 }  // namespace papayarack::batches
--- a/src/batches/resulttexts.h
+++ b/src/batches/resulttexts.h
@@ -12,7 +12,7 @@
 
 namespace papayarack::batches {
 
-/// Where the text of a listed result lies, and its checksum.
+/// Location and checksum of the text of a recorded result.
 struct TextRef {
   std::uint64_t offset = 0;
   std::uint32_t length = 0;
@@ -20,41 +20,41 @@
   MSGPACK_DEFINE(offset, length, hash)
 };
 
-/// The texts of listed results: those since the last snapshot in memory, older
-/// ones in files, at offsets that are the same on every member.
+/// The texts of recorded results. Those since the last snapshot are kept in
+/// memory, older ones in files. Offsets are the same on every member.
 ///
-/// Symptom guarded against: a small store is killed for its memory on a long
-/// day, because the state holds the texts of all results, and each snapshot
-/// holds them again. Thread safety: none, the loop's thread; only the work that
-/// Archive returns runs elsewhere.
+/// If the state held the texts of all results, and each snapshot held them
+/// again, a small store would run out of memory over a long day. Thread safety:
+/// none, the loop's thread; only the function that Archive returns may run on
+/// another thread.
 class ResultTexts {
  public:
   explicit ResultTexts(storage::FileSystem& files);
 
-  /// Takes up what a snapshot recorded. Throws ResultError(kStorageDamaged)
-  /// when the files hold less.
+  /// Restores the state of a snapshot taken at `length` bytes. Throws
+  /// ResultError(kStorageDamaged) when the files hold fewer.
   void Open(std::uint64_t length);
   TextRef Add(std::string text);
-  /// Throws ResultError(kStorageDamaged) when the bytes are not those that were
-  /// added, and kNotFound when they were dropped.
+  /// Throws ResultError(kStorageDamaged) if the checksum does not match, and
+  /// kNotFound if the text was dropped.
   std::string Read(const TextRef& ref) const;
-  /// Bytes that were ever added; the offset of the next text.
+  /// Total bytes ever added, which is the offset of the next text.
   std::uint64_t length() const { return this->total; }
   /// Bytes of texts in memory.
   std::uint64_t InMemory() const { return this->total - this->files_end; }
 
-  /// Begins to move all texts in memory to files. The work returned writes and
-  /// syncs them, on any thread; then Archived is called. Nothing to do gives an
-  /// empty function.
+  /// Starts to move all texts in memory to files. The returned function writes
+  /// and syncs them and may run on any thread; call Archived after it. Returns
+  /// an empty function if there is nothing to move.
   std::function<void()> Archive();
   void Archived();
-  /// Forgets texts before `offset`, by whole files.
+  /// Deletes files that only hold texts before `offset`.
   void DropBefore(std::uint64_t offset);
 
-  /// All bytes from `first` on, for a member that lacks them.
+  /// Returns all bytes from offset `first` on, for a member that lacks them.
   std::string Export(std::uint64_t first) const;
-  /// Takes bytes that begin at `first` into files, as far as they are not here
-  /// yet. Writes and syncs at once. Open follows.
+  /// Stores bytes that begin at offset `first` in files, except those already
+  /// stored. Writes and syncs at once. Call Open afterwards.
   void Import(std::uint64_t first, std::string_view bytes);
 
  private:
@@ -63,7 +63,7 @@
   std::map<std::uint64_t, std::string> recent;  ///< By offset.
   std::uint64_t files_end = 0;
   std::uint64_t total = 0;
-  storage::BlobPlan plan;  ///< Of the move under way; empty length: none.
+  storage::BlobPlan plan;  ///< Of the move in progress; zero length if none.
 };
 
 }  // namespace papayarack::batches
--- a/src/batches/tests/batches_tests.cpp
+++ b/src/batches/tests/batches_tests.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 SubmitBatch MakeBatch(const std::string& id, int items,
-                      std::uint64_t most_tokens = 0) {
+                      std::uint64_t max_tokens = 0) {
   SubmitBatch batch;
   batch.id = id;
   batch.host = "h";
   batch.route_key = "h/r/";
-  batch.max_waiting_tokens = most_tokens;
+  batch.max_waiting_tokens = max_tokens;
   for (int i = 0; i < items; ++i) {
     batch.items.push_back(
         {"i" + std::to_string(i), "/r/" + std::to_string(i), {}, "body", 100});
@@ -23,8 +23,8 @@
   return batch;
 }
 
-ResultCode Apply(BatchState& book, const BatchCommand& command) {
-  return static_cast<ResultCode>(book.Apply(EncodeVariant(command)).code);
+ResultCode Apply(BatchState& state, const BatchCommand& command) {
+  return static_cast<ResultCode>(state.Apply(EncodeVariant(command)).code);
 }
 
 ItemOutcome Ended(const std::string& item, ItemEnd end,
@@ -42,70 +42,69 @@
 
 TEST_CASE("a batch is accepted once and its results never change") {
   storage::MemoryFileSystem files;
-  BatchState book(files);
-  REQUIRE(Apply(book, MakeBatch("b", 3)) == ResultCode::kOk);
-  CHECK(Apply(book, MakeBatch("b", 3)) == ResultCode::kOk);
-  CHECK(book.WaitingItems().size() == 3);
-  CHECK(book.WaitingTokens("h/r/") == 300);
+  BatchState state(files);
+  REQUIRE(Apply(state, MakeBatch("b", 3)) == ResultCode::kOk);
+  CHECK(Apply(state, MakeBatch("b", 3)) == ResultCode::kOk);
+  CHECK(state.WaitingItems().size() == 3);
+  CHECK(state.WaitingTokens("h/r/") == 300);
 
-  Apply(book, ReportOutcomes{{Ended("i1", ItemEnd::kComplete, "text")}});
-  SECTION("a second run of the same item is not listed") {
-    Apply(book, ReportOutcomes{{Ended("i1", ItemEnd::kComplete, "other")}});
-    const auto page = book.Page("b", 0, 1000);
+  Apply(state, ReportOutcomes{{Ended("i1", ItemEnd::kComplete, "text")}});
+  SECTION("a second run of the same item is not recorded") {
+    Apply(state, ReportOutcomes{{Ended("i1", ItemEnd::kComplete, "other")}});
+    const auto page = state.Page("b", 0, 1000);
     REQUIRE(page->results.size() == 1);
     CHECK(page->results.front().text == "text");
     CHECK(page->next == 1);
     CHECK(page->total == 3);
   }
-  SECTION("failures count up to the route's attempts") {
+  SECTION("an item is given up after the route's number of failed attempts") {
     for (int i = 0; i < 2; ++i) {
-      Apply(book, ReportOutcomes{{Ended("i0", ItemEnd::kFailed)}});
-      CHECK(book.Waits({"b", "i0"}));
+      Apply(state, ReportOutcomes{{Ended("i0", ItemEnd::kFailed)}});
+      CHECK(state.IsWaiting({"b", "i0"}));
     }
-    Apply(book, ReportOutcomes{{Ended("i0", ItemEnd::kFailed)}});
-    CHECK_FALSE(book.Waits({"b", "i0"}));
-    CHECK_FALSE(book.Page("b", 1, 1000)->results.front().complete);
+    Apply(state, ReportOutcomes{{Ended("i0", ItemEnd::kFailed)}});
+    CHECK_FALSE(state.IsWaiting({"b", "i0"}));
+    CHECK_FALSE(state.Page("b", 1, 1000)->results.front().complete);
   }
-  // An item was given up after two failed attempts of three: replicas answered
-  // 500 at 20.6 and at 63.8 s, and between them everything lost its power
-  // twice. A report whose answer is lost with the leader is sent to the next
-  // one, which may hold the first copy in its log, and each copy counted as an
-  // attempt.
-  SECTION("a failure that is reported again counts once") {
+  // Guards against an item that is given up after two failed attempts of three:
+  // a report whose answer is lost with the leader is sent again to the next
+  // leader, which may hold the first copy in its log. Both copies must count as
+  // one attempt.
+  SECTION("a failure that is reported twice counts once") {
     ItemOutcome first = Ended("i0", ItemEnd::kFailed);
     first.run = 7;
     ItemOutcome second = first;
     second.run = 8;
-    Apply(book, ReportOutcomes{{first}});
-    Apply(book, ReportOutcomes{{first, second, first}});
-    Apply(book, ReportOutcomes{{second}});
-    CHECK(book.Waits({"b", "i0"}));
-    SECTION("over a snapshot too") {
-      const std::string saved = book.Save();
-      book.ArchiveTexts()();
-      book.TextsArchived();
+    Apply(state, ReportOutcomes{{first}});
+    Apply(state, ReportOutcomes{{first, second, first}});
+    Apply(state, ReportOutcomes{{second}});
+    CHECK(state.IsWaiting({"b", "i0"}));
+    SECTION("even across a snapshot") {
+      const std::string saved = state.Save();
+      state.ArchiveTexts()();
+      state.TextsArchived();
       BatchState restored(files);
       restored.Load(saved);
       Apply(restored, ReportOutcomes{{second}});
-      CHECK(restored.Waits({"b", "i0"}));
+      CHECK(restored.IsWaiting({"b", "i0"}));
       ItemOutcome third = first;
       third.run = 9;
       Apply(restored, ReportOutcomes{{third}});
-      CHECK_FALSE(restored.Waits({"b", "i0"}));
+      CHECK_FALSE(restored.IsWaiting({"b", "i0"}));
     }
   }
-  SECTION("an ended batch keeps what is listed and runs no more") {
-    CHECK(Apply(book, EndBatch{"b"}) == ResultCode::kOk);
-    CHECK(Apply(book, EndBatch{"b"}) == ResultCode::kOk);
-    CHECK(book.WaitingItems().empty());
-    CHECK(book.WaitingTokens("h/r/") == 0);
-    CHECK(book.Page("b", 0, 1000)->results.size() == 1);
+  SECTION("an ended batch keeps its results and its items no longer run") {
+    CHECK(Apply(state, EndBatch{"b"}) == ResultCode::kOk);
+    CHECK(Apply(state, EndBatch{"b"}) == ResultCode::kOk);
+    CHECK(state.WaitingItems().empty());
+    CHECK(state.WaitingTokens("h/r/") == 0);
+    CHECK(state.Page("b", 0, 1000)->results.size() == 1);
   }
-  SECTION("a snapshot holds all of it") {
-    const std::string saved = book.Save();
-    book.ArchiveTexts()();
-    book.TextsArchived();
-    CHECK(book.Page("b", 0, 1000)->results.front().text == "text");
+  SECTION("a snapshot holds the whole state") {
+    const std::string saved = state.Save();
+    state.ArchiveTexts()();
+    state.TextsArchived();
+    CHECK(state.Page("b", 0, 1000)->results.front().text == "text");
     BatchState restored(files);
     restored.Load(saved);
     CHECK(restored.WaitingItems().size() == 2);
@@ -114,23 +113,23 @@
   }
 }
 
-// Symptom: a member that joined lists other results than the others, or none.
-// Sequence: some results are in files, some only in memory; a member without a
-// disk's content, and one that has a part of it, take the whole state.
-TEST_CASE("another member takes over the batches with all texts") {
+// Guards against a joining member with wrong or missing results: some results
+// are in files, others only in memory, and the joining member has none or only
+// some of the texts.
+TEST_CASE("another member imports the batches with all texts") {
   storage::MemoryFileSystem files;
-  BatchState book(files);
-  Apply(book, MakeBatch("b", 3));
-  Apply(book, ReportOutcomes{{Ended("i1", ItemEnd::kComplete, "first")}});
-  const std::string early = book.Export();
-  book.ArchiveTexts()();
-  book.TextsArchived();
-  Apply(book, ReportOutcomes{{Ended("i0", ItemEnd::kComplete, "second")}});
-  Apply(book, ReportOutcomes{{Ended("i2", ItemEnd::kGivenUp)}});
+  BatchState state(files);
+  Apply(state, MakeBatch("b", 3));
+  Apply(state, ReportOutcomes{{Ended("i1", ItemEnd::kComplete, "first")}});
+  const std::string early = state.Export();
+  state.ArchiveTexts()();
+  state.TextsArchived();
+  Apply(state, ReportOutcomes{{Ended("i0", ItemEnd::kComplete, "second")}});
+  Apply(state, ReportOutcomes{{Ended("i2", ItemEnd::kGivenUp)}});
   storage::MemoryFileSystem other_files;
   BatchState other(other_files);
-  const auto takes_all = [&] {
-    const std::string saved = other.Import(book.Export());
+  const auto import_all = [&] {
+    const std::string saved = other.Import(state.Export());
     other.Load(saved);
     const auto page = other.Page("b", 0, 1000);
     REQUIRE(page->results.size() == 3);
@@ -138,14 +137,14 @@
     CHECK(page->results[1].text == "second");
     CHECK_FALSE(page->results[2].complete);
   };
-  SECTION("with an empty disk") { takes_all(); }
-  SECTION("with a part of the texts") {
+  SECTION("with an empty disk") { import_all(); }
+  SECTION("with some of the texts") {
     other.Load(other.Import(early));
     CHECK(other.Page("b", 0, 1000)->results.size() == 1);
-    takes_all();
+    import_all();
   }
-  SECTION("and goes on from there") {
-    takes_all();
+  SECTION("and continues from there") {
+    import_all();
     Apply(other, MakeBatch("c", 1));
     ItemOutcome outcome = Ended("i0", ItemEnd::kComplete, "third");
     outcome.batch = "c";
@@ -160,204 +159,206 @@
   }
 }
 
-TEST_CASE("the tokens that wait on a route are bounded over all processes") {
+TEST_CASE("the waiting tokens of a route are limited over all processes") {
   storage::MemoryFileSystem files;
-  BatchState book(files);
-  REQUIRE(Apply(book, MakeBatch("b", 3, 500)) == ResultCode::kOk);
-  CHECK(Apply(book, MakeBatch("c", 3, 500)) == ResultCode::kOverloaded);
-  CHECK(book.Find("c") == nullptr);
-  Apply(book, ReportOutcomes{{Ended("i1", ItemEnd::kComplete, "text")}});
-  CHECK(Apply(book, MakeBatch("c", 3, 500)) == ResultCode::kOk);
+  BatchState state(files);
+  REQUIRE(Apply(state, MakeBatch("b", 3, 500)) == ResultCode::kOk);
+  CHECK(Apply(state, MakeBatch("c", 3, 500)) == ResultCode::kOverloaded);
+  CHECK(state.Find("c") == nullptr);
+  Apply(state, ReportOutcomes{{Ended("i1", ItemEnd::kComplete, "text")}});
+  CHECK(Apply(state, MakeBatch("c", 3, 500)) == ResultCode::kOk);
 }
 
 TEST_CASE("items are leased to gates") {
-  LeaseScheduler desk;
+  LeaseScheduler scheduler;
   const ItemRef one{"b", "1"};
   const ItemRef two{"b", "2"};
-  desk.Reset(At(0));
-  desk.Add(one, At(18000), {kService});
-  desk.Add(two, At(18000), {kService});
-  const auto take = [&desk](const std::string& gate, std::size_t room, int at) {
-    return desk.Take(gate, kService, room, At(at));
+  scheduler.Reset(At(0));
+  scheduler.Add(one, At(18000), {kService});
+  scheduler.Add(two, At(18000), {kService});
+  const auto take = [&scheduler](const std::string& gate, std::size_t room,
+                                 int at) {
+    return scheduler.Take(gate, kService, room, At(at));
   };
-  SECTION("after a change of leader the gates speak first") {
-    desk.Renew("g", 1, {one}, At(100));
+  SECTION("after a leader change the gates first report what they hold") {
+    scheduler.Renew("g", 1, {one}, At(100));
     CHECK(take("h", 5, 200).empty());
     const auto taken = take("h", 5, 1600);
     REQUIRE(taken.size() == 1);
     CHECK(taken.front() == two);
   }
-  SECTION("a silent gate loses its items") {
+  SECTION("the leases of a silent gate expire") {
     REQUIRE(take("g", 1, 2000).size() == 1);
-    desk.Renew("g", 1, {one}, At(2000));
-    desk.Expire(At(4000));
-    CHECK(desk.Waiting() == 1);
-    desk.Expire(At(4600));
-    CHECK(desk.Waiting() == 2);
+    scheduler.Renew("g", 1, {one}, At(2000));
+    scheduler.Expire(At(4000));
+    CHECK(scheduler.Waiting() == 1);
+    scheduler.Expire(At(4600));
+    CHECK(scheduler.Waiting() == 2);
   }
-  SECTION("an item that a gate no longer names waits again") {
+  SECTION("an item that a gate no longer reports waits again") {
     take("g", 1, 2000);
-    desk.Renew("g", 1, {}, At(2100));
-    CHECK(desk.Waiting() == 2);
+    scheduler.Renew("g", 1, {}, At(2100));
+    CHECK(scheduler.Waiting() == 2);
   }
-  SECTION("an item handed back keeps what its run made") {
+  SECTION("a returned item keeps the output of its run") {
     take("g", 1, 2000);
-    desk.Return("g", {one, {"abc", 3}});
-    CHECK(desk.PartialOf(one).last_event == 3);
+    scheduler.Return("g", {one, {"abc", 3}});
+    CHECK(scheduler.PartialOf(one).last_event == 3);
     CHECK(take("h", 1, 2100).front() == one);
   }
-  SECTION("an item handed back a second time changes nothing") {
+  SECTION("returning an item a second time has no effect") {
     take("g", 1, 2000);
     const ReturnedItem returned{one, {"abc", 3}};
-    desk.Return("g", returned);
+    scheduler.Return("g", returned);
     SECTION("while it waits") {
-      desk.Return("g", returned);
-      CHECK(desk.Waiting() == 2);
+      scheduler.Return("g", returned);
+      CHECK(scheduler.Waiting() == 2);
     }
     SECTION("while another gate runs it") {
       REQUIRE(take("h", 1, 2100).front() == one);
-      desk.Return("g", returned);
-      CHECK(desk.Waiting() == 1);
+      scheduler.Return("g", returned);
+      CHECK(scheduler.Waiting() == 1);
     }
-    SECTION("when it got further meanwhile") {
+    SECTION("when another run has continued it") {
       REQUIRE(take("h", 1, 2100).front() == one);
-      desk.Return("h", {one, {"abcde", 5}});
-      desk.Return("g", returned);
-      CHECK(desk.Waiting() == 2);
-      CHECK(desk.PartialOf(one).text == "abcde");
+      scheduler.Return("h", {one, {"abcde", 5}});
+      scheduler.Return("g", returned);
+      CHECK(scheduler.Waiting() == 2);
+      CHECK(scheduler.PartialOf(one).text == "abcde");
       return;
     }
-    CHECK(desk.PartialOf(one).text == "abc");
+    CHECK(scheduler.PartialOf(one).text == "abc");
   }
-  SECTION("what is listed has to stop") {
+  SECTION("an item with a result must stop") {
     take("g", 1, 2000);
-    desk.Remove(one, At(7000));
-    CHECK(desk.ToStop({one}).size() == 1);
-    CHECK(desk.ToStop({two}).empty());
+    scheduler.Remove(one, At(7000));
+    CHECK(scheduler.ToStop({one}).size() == 1);
+    CHECK(scheduler.ToStop({two}).empty());
   }
 }
 
-// Guards against a leader that is busy with leases alone: each gate renews its
-// own several times a second while many items wait.
-TEST_CASE("renewing leases costs what a gate holds, not what waits") {
+// Guards against a leader that spends all its time on leases: each gate renews
+// its leases several times a second while many items wait.
+TEST_CASE("the cost of renewing leases does not depend on the waiting items") {
   constexpr int kHeld = 7;
   constexpr int kRenewals = 500;
-  constexpr int kNoisyClock = 10;
-  const auto cost_beside = [&](int waiting) {
-    LeaseScheduler desk;
-    desk.Reset(At(0));
+  constexpr int kCostTolerance = 10;
+  const auto cost_with = [&](int waiting) {
+    LeaseScheduler scheduler;
+    scheduler.Reset(At(0));
     for (int i = 0; i < waiting; ++i) {
-      desk.Add({"b", std::to_string(i)}, At(18000), {kService});
+      scheduler.Add({"b", std::to_string(i)}, At(18000), {kService});
     }
-    const std::vector<ItemRef> held = desk.Take("g", kService, kHeld, At(2000));
+    const std::vector<ItemRef> held =
+        scheduler.Take("g", kService, kHeld, At(2000));
     REQUIRE(held.size() == kHeld);
     const auto cost = ProcessorTimeOf([&] {
       for (int i = 0; i < kRenewals; ++i) {
-        desk.Renew("g", 1, held, At(2000 + i));
+        scheduler.Renew("g", 1, held, At(2000 + i));
       }
     });
-    CHECK(desk.Waiting() == static_cast<std::size_t>(waiting - kHeld));
+    CHECK(scheduler.Waiting() == static_cast<std::size_t>(waiting - kHeld));
     return cost;
   };
-  CHECK(cost_beside(60000) < kNoisyClock * cost_beside(60));
+  CHECK(cost_with(60000) < kCostTolerance * cost_with(60));
 }
 
-// Guards against a leader that is busy with one large batch alone: it looked at
-// all items of the batch for each result.
-TEST_CASE("a result costs the same in a large batch as in a small one") {
+// Guards against a leader that spends all its time on one large batch because
+// it scans all items for each result.
+TEST_CASE("a result costs as much in a large batch as in a small one") {
   constexpr int kResults = 50;
-  constexpr int kNoisyClock = 10;
-  const auto cost_in = [&](int items) {
+  constexpr int kCostTolerance = 10;
+  const auto cost_of_results = [&](int items) {
     storage::MemoryFileSystem files;
-    BatchState book(files);
-    Apply(book, MakeBatch("b", items));
-    book.TakeChanges();
+    BatchState state(files);
+    Apply(state, MakeBatch("b", items));
+    state.TakeChanges();
     std::vector<ItemRef> changed;
     const auto cost = ProcessorTimeOf([&] {
       for (int i = items - kResults; i < items; ++i) {
         const std::string item = "i" + std::to_string(i);
-        Apply(book, ReportOutcomes{{Ended(item, ItemEnd::kComplete, "text")}});
-        CHECK_FALSE(book.Waits({"b", item}));
-        const BatchState::Changes changes = book.TakeChanges();
+        Apply(state, ReportOutcomes{{Ended(item, ItemEnd::kComplete, "text")}});
+        CHECK_FALSE(state.IsWaiting({"b", item}));
+        const BatchState::Changes changes = state.TakeChanges();
         CHECK(changes.batches.empty());
         std::ranges::copy(changes.items, std::back_inserter(changed));
       }
     });
     CHECK(changed.size() == kResults);
-    CHECK(book.Page("b", 0, 1U << 20U)->results.size() == kResults);
+    CHECK(state.Page("b", 0, 1U << 20U)->results.size() == kResults);
     return cost;
   };
-  CHECK(cost_in(63000) < kNoisyClock * cost_in(60));
+  CHECK(cost_of_results(63000) < kCostTolerance * cost_of_results(60));
 }
 
-// Guards against callers of one service who wait behind items of another, which
-// nobody can run at the moment.
-TEST_CASE("items are handed out by the services that may run them") {
-  LeaseScheduler desk;
-  desk.Reset(At(0));
-  desk.Add({"b", "other"}, At(9000), {"other"});
-  desk.Add({"b", "own"}, At(18000), {kService});
-  desk.Add({"b", "both"}, At(12000), {"other", kService});
-  desk.Add({"b", "late"}, At(3000), {"other", kService});
-  desk.Add({"b", "nobody"}, At(9000), {});
-  const auto take = [&desk](std::size_t room) {
-    return desk.Take("g", kService, room, At(2000));
+// Guards against items of one service that wait behind items of another service
+// that has no replicas to run them.
+TEST_CASE("items are leased to the services that may run them") {
+  LeaseScheduler scheduler;
+  scheduler.Reset(At(0));
+  scheduler.Add({"b", "other"}, At(9000), {"other"});
+  scheduler.Add({"b", "own"}, At(18000), {kService});
+  scheduler.Add({"b", "both"}, At(12000), {"other", kService});
+  scheduler.Add({"b", "late"}, At(3000), {"other", kService});
+  scheduler.Add({"b", "nobody"}, At(9000), {});
+  const auto take = [&scheduler](std::size_t room) {
+    return scheduler.Take("g", kService, room, At(2000));
   };
-  SECTION("by due time, whichever other services they may go to") {
+  SECTION("by due time, even if other services may run them too") {
     CHECK(take(5) ==
           std::vector<ItemRef>{{"b", "both"}, {"b", "own"}, {"b", "late"}});
-    CHECK_FALSE(desk.WaitsFor(kService));
-    CHECK(desk.WaitsFor("other"));
-    CHECK(desk.Waiting() == 2);
+    CHECK_FALSE(scheduler.HasWaitingFor(kService));
+    CHECK(scheduler.HasWaitingFor("other"));
+    CHECK(scheduler.Waiting() == 2);
   }
-  SECTION("and by other services once the configuration says so") {
+  SECTION("and to other services after a configuration change") {
     REQUIRE(take(1) == std::vector<ItemRef>{{"b", "both"}});
-    desk.Reassign([](const ItemRef& item) {
+    scheduler.Reassign([](const ItemRef& item) {
       return item.item == "nobody" ? Services{kService} : Services{"other"};
     });
     CHECK(take(5) == std::vector<ItemRef>{{"b", "nobody"}});
-    SECTION("also when they are handed back") {
-      desk.Return("g", {{"b", "both"}, {}});
+    SECTION("also when they are returned") {
+      scheduler.Return("g", {{"b", "both"}, {}});
       CHECK(take(5).empty());
-      CHECK(desk.Take("h", "other", 2, At(2000)) ==
+      CHECK(scheduler.Take("h", "other", 2, At(2000)) ==
             std::vector<ItemRef>{{"b", "other"}, {"b", "both"}});
     }
   }
 }
 
-// Guards against a leader that is busy with pulls alone: each looked at all
-// that waits when none of it was for its service.
-TEST_CASE("a pull costs the same beside many items of other services") {
+// Guards against a leader that spends all its time on pulls because each scans
+// all waiting items although none is for its service.
+TEST_CASE("the cost of a pull does not depend on items of other services") {
   constexpr int kPulls = 500;
-  constexpr int kNoisyClock = 10;
-  const auto cost_beside = [&](int waiting) {
-    LeaseScheduler desk;
-    desk.Reset(At(0));
+  constexpr int kCostTolerance = 10;
+  const auto cost_with = [&](int waiting) {
+    LeaseScheduler scheduler;
+    scheduler.Reset(At(0));
     for (int i = 0; i < waiting; ++i) {
-      desk.Add({"b", std::to_string(i)}, At(18000), {"other"});
+      scheduler.Add({"b", std::to_string(i)}, At(18000), {"other"});
     }
     std::size_t taken = 0;
     const auto cost = ProcessorTimeOf([&] {
       for (int i = 0; i < kPulls; ++i) {
-        taken += desk.WaitsFor(kService) ? 1 : 0;
-        taken += desk.Take("g", kService, 7, At(2000 + i)).size();
+        taken += scheduler.HasWaitingFor(kService) ? 1 : 0;
+        taken += scheduler.Take("g", kService, 7, At(2000 + i)).size();
       }
     });
     CHECK(taken == 0);
     return cost;
   };
-  CHECK(cost_beside(60000) < kNoisyClock * cost_beside(60));
+  CHECK(cost_with(60000) < kCostTolerance * cost_with(60));
 }
 
-// Load: twice as many items as the slots can run, for half a minute. First come
-// first served finishes nearly all of them just too late; by what can still be
-// in time, as many are in time as the slots can run.
-TEST_CASE("under lasting overload as many items are in time as can be") {
+// Load: twice as many items as the slots can run, for half a minute. First
+// come, first served would finish nearly all of them just too late. If those
+// that can still finish in time go first, as many do so as the slots can run.
+TEST_CASE("under lasting overload as many items finish in time as possible") {
   constexpr int kRunMs = 5000;
   constexpr int kAllowedMs = 18000;
   constexpr int kSlots = 10;
-  LeaseScheduler desk;
-  desk.Reset(At(0));
+  LeaseScheduler scheduler;
+  scheduler.Reset(At(0));
   const int start = 2000;
   std::map<ItemRef, int> due;
   std::vector<std::pair<int, ItemRef>> running;
@@ -367,43 +368,43 @@
     if (now < start + 30000) {
       const ItemRef item{"b", std::to_string(now)};
       due[item] = now + kAllowedMs;
-      desk.Add(item, At(now + kAllowedMs), {kService});
+      scheduler.Add(item, At(now + kAllowedMs), {kService});
     }
     std::erase_if(running, [&](const auto& run) {
       if (run.first > now) {
         return false;
       }
-      desk.Remove(run.second, At(now));
+      scheduler.Remove(run.second, At(now));
       ++ended;
       in_time += now <= due[run.second] ? 1 : 0;
       return true;
     });
-    desk.Renew("g", 1, {}, At(0));
+    scheduler.Renew("g", 1, {}, At(0));
     std::vector<ItemRef> held;
     held.reserve(running.size());
     for (const auto& [end, item] : running) {
       held.push_back(item);
     }
-    desk.Renew("g", 1, held, At(now));
+    scheduler.Renew("g", 1, held, At(now));
     for (const ItemRef& item :
-         desk.Take("g", kService, kSlots - running.size(), At(now))) {
+         scheduler.Take("g", kService, kSlots - running.size(), At(now))) {
       running.emplace_back(now + kRunMs, item);
     }
   }
-  // 120 items came in 30 s; until the last is due the slots can run 92.
+  // 120 items arrived in 30 s; the slots can run 92 until the last is due.
   CHECK(ended == 120);
   CHECK(in_time >= 85);
 }
 
-// Load: a late item and one that can be in time wait for the same slot.
-TEST_CASE("an item that can be in time goes before a late one") {
-  LeaseScheduler desk;
-  desk.Reset(At(0));
-  desk.Add({"b", "late"}, At(3000), {kService});
-  desk.Add({"b", "fresh"}, At(20000), {kService});
-  CHECK(desk.Take("g", kService, 1, At(2000)) ==
+// A late item and one that can finish in time wait for the same slot.
+TEST_CASE("an item that can finish in time is leased before a late one") {
+  LeaseScheduler scheduler;
+  scheduler.Reset(At(0));
+  scheduler.Add({"b", "late"}, At(3000), {kService});
+  scheduler.Add({"b", "fresh"}, At(20000), {kService});
+  CHECK(scheduler.Take("g", kService, 1, At(2000)) ==
         std::vector<ItemRef>{{"b", "fresh"}});
-  CHECK(desk.Take("g", kService, 1, At(2000)) ==
+  CHECK(scheduler.Take("g", kService, 1, At(2000)) ==
         std::vector<ItemRef>{{"b", "late"}});
 }
 
--- a/src/batches/tests/batchstore_tests.cpp
+++ b/src/batches/tests/batchstore_tests.cpp
@@ -15,14 +15,15 @@
 
 constexpr std::size_t kBodyBytes = 100'000;
 constexpr int kCopies = 4;
-/// Each loop runs this long in turn.
+/// The members' loops run in turn, each for this long.
 constexpr milliseconds kSlice{5};
-/// An election takes 0.15 to 1.2 s; far more says that it hangs.
-constexpr milliseconds kPatience{6000};
-/// Shorter than the time after which a leader without its quorum gives up.
-constexpr milliseconds kHeldUp{250};
+/// Test timeout. An election takes 0.15 to 1.2 s, so far more means that it
+/// hangs.
+constexpr milliseconds kTestTimeout{6000};
+/// Shorter than the time after which a leader without a quorum steps down.
+constexpr milliseconds kPause{250};
 
-/// Two members, so that nothing is committed while one of them is held up.
+/// Two members, so that nothing is committed while one of them is paused.
 class Pair {
  public:
   Pair() {
@@ -48,7 +49,7 @@
   std::list<StoreMember>& Members() { return this->members; }
 
   void RunUntil(const std::function<bool()>& done) {
-    const Time until = MonotonicNow() + kPatience;
+    const Time until = MonotonicNow() + kTestTimeout;
     while (!done() && MonotonicNow() < until) {
       for (StoreMember& member : this->members) {
         member.Run(kSlice);
@@ -56,7 +57,7 @@
     }
   }
 
-  /// The other member is held up for `time`.
+  /// Runs only the leader for `time`; the other member is paused.
   void RunLeaderAlone(milliseconds time) {
     const Time until = MonotonicNow() + time;
     while (MonotonicNow() < until) {
@@ -87,13 +88,11 @@
 
 }  // namespace
 
-// Symptom: stores that are slow for a moment stay slow: their logs and the
-// links between them fill with the same batch and the same texts many times.
-// Sequence: a member answers late; whoever submitted or reported hears nothing
-// in time and sends all of it again, also through another process. Cause: only
-// what was applied was recognised; a copy of what was on its way became a
-// further entry of the log, sent whole to every member.
-TEST_CASE("a copy of what is on its way is no further entry of the log") {
+// Guards against stores that stay slow after a short delay: a caller that gets
+// no answer in time sends its batch or report again, also through another
+// process. If a copy of an uncommitted message became a log entry of its own,
+// the logs and the links between members would fill with copies.
+TEST_CASE("a copy of an uncommitted message adds no log entry") {
   Pair pair;
   StoreMember& leader = pair.Leader();
   std::vector<ResultCode> codes;
@@ -103,9 +102,9 @@
     for (int i = 0; i < kCopies; ++i) {
       leader.Ask(path, message, codes);
     }
-    pair.RunLeaderAlone(kHeldUp);
+    pair.RunLeaderAlone(kPause);
     CHECK(codes.empty());
-    SECTION("whose senders are all answered once it is durable") {
+    SECTION("and all senders are answered once it is committed") {
       pair.RunUntil(all_answered);
       CHECK(Count(codes, ResultCode::kOk) == kCopies);
       CHECK(leader.BytesKept() - before < 2 * kBodyBytes);
@@ -116,18 +115,18 @@
         CHECK(leader.BytesKept() - before < 2 * kBodyBytes);
       }
     }
-    SECTION("whose senders all learn that its outcome is unknown") {
-      const Time until = MonotonicNow() + kPatience;
+    SECTION("and all senders are told that the outcome is unknown") {
+      const Time until = MonotonicNow() + kTestTimeout;
       while (!all_answered() && MonotonicNow() < until) {
         pair.RunLeaderAlone(kSlice);
       }
       CHECK(Count(codes, ResultCode::kUnknownOutcome) == kCopies);
     }
   };
-  SECTION("of a batch") {
+  SECTION("for a batch") {
     send_copies("/jobs/submit", MakeBatch("b", kBodyBytes));
   }
-  SECTION("of a batch's end") {
+  SECTION("for the end of a batch") {
     const std::string long_id(kBodyBytes, 'b');
     leader.Ask("/jobs/submit", MakeBatch(long_id, 1), codes);
     pair.RunUntil([&codes] { return codes.size() == 1; });
@@ -135,23 +134,23 @@
     codes.clear();
     send_copies("/jobs/end", EndBatch{long_id});
   }
-  SECTION("though another batch of that id is judged by itself") {
+  SECTION("but a different batch with the same id is proposed separately") {
     const std::uint64_t before = leader.BytesKept();
     leader.Ask("/jobs/submit", MakeBatch("b", kBodyBytes), codes);
     leader.Ask("/jobs/submit", MakeBatch("b", kBodyBytes + 1), codes);
-    pair.RunLeaderAlone(kHeldUp);
+    pair.RunLeaderAlone(kPause);
     pair.RunUntil([&codes] { return codes.size() == 2; });
     CHECK(Count(codes, ResultCode::kOk) == 2);
     CHECK(leader.BytesKept() - before > 2 * kBodyBytes);
   }
-  SECTION("of a report") {
+  SECTION("for a report") {
     leader.Ask("/jobs/submit", MakeBatch("b", 1), codes);
     pair.RunUntil([&codes] { return codes.size() == 1; });
     REQUIRE(codes == std::vector<ResultCode>{ResultCode::kOk});
     codes.clear();
     send_copies("/jobs/report", Completed(std::string(kBodyBytes, 't')));
   }
-  SECTION("of a part of a report that comes with more") {
+  SECTION("for an outcome that is repeated in a larger report") {
     SubmitBatch batch = MakeBatch("b", 1);
     batch.items.push_back({"j", "/r/1", {}, "body", 100});
     leader.Ask("/jobs/submit", batch, codes);
@@ -163,7 +162,7 @@
     report.outcomes.push_back(report.outcomes.front());
     report.outcomes.back().item = "j";
     leader.Ask("/jobs/report", report, codes);
-    pair.RunLeaderAlone(kHeldUp);
+    pair.RunLeaderAlone(kPause);
     pair.RunUntil([&codes] { return codes.size() == 2; });
     CHECK(Count(codes, ResultCode::kOk) == 2);
     const std::uint64_t added = leader.BytesKept() - before;
@@ -172,10 +171,10 @@
   }
 }
 
-// Guards against a leader that takes more than it can commit: refused at once,
-// a report waits at its gate.
-TEST_CASE("a report for which the log has no room is refused at once") {
-  constexpr std::size_t kTextBytes = BatchStore::kMostProposedBytes / 2;
+// Guards against a leader that accepts more reports than it can commit. A
+// report that is refused at once waits at its gate.
+TEST_CASE("a report above the limit of uncommitted bytes is refused at once") {
+  constexpr std::size_t kTextBytes = BatchStore::kMaxProposedBytes / 2;
   Pair pair;
   StoreMember& leader = pair.Leader();
   std::vector<ResultCode> codes;
@@ -191,26 +190,26 @@
     outcomes.outcomes.front().item = item;
     leader.Ask("/jobs/report", outcomes, codes);
   };
-  SECTION("and taken once there is room") {
+  SECTION("and accepted after others are committed") {
     report("i", kTextBytes);
     report("j", kTextBytes);
-    pair.RunLeaderAlone(kHeldUp);
+    pair.RunLeaderAlone(kPause);
     CHECK(codes == std::vector<ResultCode>{ResultCode::kOverloaded});
     pair.RunUntil([&codes] { return codes.size() == 2; });
     report("j", kTextBytes);
     pair.RunUntil([&codes] { return codes.size() == 3; });
     CHECK(Count(codes, ResultCode::kOk) == 2);
   }
-  SECTION("but not the only one, whatever its size") {
-    report("i", BatchStore::kMostProposedBytes + 1);
+  SECTION("unless it is the only one, whatever its size") {
+    report("i", BatchStore::kMaxProposedBytes + 1);
     pair.RunUntil([&codes] { return codes.size() == 1; });
     CHECK(codes == std::vector<ResultCode>{ResultCode::kOk});
   }
 }
 
-// Guards against items that run after their caller has ended the batch: the end
-// waited for the log, and gates went on until it was committed.
-TEST_CASE("an end that is asked stops the batch before it is committed") {
+// Guards against items that run on after their caller has ended the batch,
+// until the end is committed.
+TEST_CASE("a request to end a batch stops its items before it is committed") {
   Pair pair;
   for (StoreMember& member : pair.Members()) {
     member.SetRoutes(MakeBatchTable());
@@ -222,17 +221,17 @@
   leader.Ask("/jobs/submit", batch, codes);
   std::vector<PulledItems> pulls;
   const auto pull = [&](std::uint32_t room, std::vector<ItemRef> holding) {
-    PullItems asked;
-    asked.gate = "g";
-    asked.service = "llm";
-    asked.room = room;
-    asked.holding = std::move(holding);
-    leader.Call("/jobs/pull", asked,
+    PullItems request;
+    request.gate = "g";
+    request.service = "llm";
+    request.room = room;
+    request.holding = std::move(holding);
+    leader.Call("/jobs/pull", request,
                 [&pulls](const coordination::GroupReply& reply) {
                   pulls.push_back(DecodeMessage<PulledItems>(reply.body));
                 });
   };
-  // Gates say first what they hold; only then is anything handed out.
+  // No items are leased until the gates had time to report what they hold.
   while (pulls.empty() || pulls.back().items.empty()) {
     const std::size_t before = pulls.size();
     pull(1, {});
@@ -247,28 +246,28 @@
   pair.RunUntil([&] { return pulls.size() == 1; });
   REQUIRE(pulls.back().items.size() == 1);
   const ItemRef other{"b", pulls.back().items.front().spec.id};
-  // Handed back: it waits again.
+  // The gate returns `other`, which waits again.
   pull(0, {held});
   pair.RunLeaderAlone(kSlice);
   leader.Ask("/jobs/end", EndBatch{"b"}, codes);
-  pair.RunLeaderAlone(kHeldUp);
+  pair.RunLeaderAlone(kPause);
   CHECK(codes.size() == 1);
 
-  SECTION("whoever runs its items is told at once") {
+  SECTION("a gate that runs its items is told at once") {
     REQUIRE(pulls.size() == 2);
     CHECK(pulls.back().stop == std::vector<ItemRef>{held});
   }
-  SECTION("whoever has room gets none of them") {
+  SECTION("a gate with free slots gets none of its items") {
     pull(5, {});
-    pair.RunLeaderAlone(kHeldUp);
+    pair.RunLeaderAlone(kPause);
     CHECK(pulls.size() == 2);
   }
-  SECTION("and it is answered once it is committed") {
+  SECTION("and the caller is answered once it is committed") {
     pair.RunUntil([&] { return codes.size() == 2; });
     CHECK(Count(codes, ResultCode::kOk) == 2);
   }
-  SECTION("but an end that is not committed stops nothing for good") {
-    const Time until = MonotonicNow() + kPatience;
+  SECTION("but the outcome is unknown if it is not committed") {
+    const Time until = MonotonicNow() + kTestTimeout;
     while (codes.size() < 2 && MonotonicNow() < until) {
       pair.RunLeaderAlone(kSlice);
     }
@@ -276,28 +275,28 @@
   }
 }
 
-// Symptom: gates send the texts of items that they hand back several times.
-// Sequence: the leader holds the pull that carries them for a second, as it has
-// no items; meanwhile room changes and the gate asks anew. Cause: only an
-// answer tells the gate that the texts arrived.
-TEST_CASE("a pull that hands something back is answered at once") {
-  constexpr milliseconds kFarBelowHold{500};
+// Guards against gates that send the texts of returned items several times:
+// only an answer tells a gate that the texts arrived. If the leader kept the
+// pull open for a second because it has no items, the gate would send them
+// again with its next pull.
+TEST_CASE("a pull that returns items is answered at once") {
+  constexpr milliseconds kFarBelowPullTimeout{500};
   Pair pair;
   std::vector<ResultCode> codes;
   const auto answered = [&codes] { return !codes.empty(); };
   PullItems pull;
   pull.gate = "g";
   const Time start = MonotonicNow();
-  SECTION("whether the item is known or not") {
+  SECTION("even if the item is unknown") {
     pull.returned.push_back({{"b", "i"}, {"made", 1}});
     pair.Leader().Ask("/jobs/pull", pull, codes);
     pair.RunUntil(answered);
-    CHECK(MonotonicNow() - start < kFarBelowHold);
+    CHECK(MonotonicNow() - start < kFarBelowPullTimeout);
   }
-  SECTION("one that does not is held") {
+  SECTION("a pull that returns nothing is kept open") {
     pair.Leader().Ask("/jobs/pull", pull, codes);
     pair.RunUntil(answered);
-    CHECK(MonotonicNow() - start > kFarBelowHold);
+    CHECK(MonotonicNow() - start > kFarBelowPullTimeout);
   }
   CHECK(codes == std::vector<ResultCode>{ResultCode::kOk});
 }
--- a/src/batches/tests/batchtable.h
+++ b/src/batches/tests/batchtable.h
@@ -8,7 +8,8 @@
 
 namespace papayarack::batches {
 
-/// One batch route, of host "h" and prefix "/r/", to the service "llm".
+/// Routes with one batch route, from host "h" and prefix "/r/" to the service
+/// "llm".
 inline routes::RouteTablePtr MakeBatchTable() {
   routes::Route route;
   route.host = "h";
--- a/src/batches/tests/resulttexts_tests.cpp
+++ b/src/batches/tests/resulttexts_tests.cpp
@@ -17,27 +17,26 @@
 
 }  // namespace
 
-// Symptom: a store of 130 MB is killed for its memory. Load: 32 results of 10
-// KB a second for a minute, a snapshot each 2 MB. What is in memory must not
-// grow with the history.
-TEST_CASE("texts in memory do not grow with the history") {
+// Guards against a store limited to 130 MB that runs out of memory. Load: 32
+// results of 10 KB per second for a minute, with a snapshot every 2 MB.
+TEST_CASE("the texts in memory are limited by snapshots") {
   storage::MemoryFileSystem files;
   ResultTexts texts(files);
   constexpr std::size_t kText = 10'000;
   constexpr std::uint64_t kSnapshot = 2'000'000;
   std::vector<TextRef> refs;
-  std::uint64_t most = 0;
+  std::uint64_t max_in_memory = 0;
   for (int i = 0; i < 32 * 60; ++i) {
     refs.push_back(
         texts.Add(std::string(kText, static_cast<char>('a' + i % 26))));
-    most = std::max(most, texts.InMemory());
+    max_in_memory = std::max(max_in_memory, texts.InMemory());
     if (texts.InMemory() >= kSnapshot) {
       MoveToFiles(texts);
     }
   }
-  CHECK(most <= kSnapshot + kText);
+  CHECK(max_in_memory <= kSnapshot + kText);
   CHECK(texts.Read(refs.front()) == std::string(kText, 'a'));
-  SECTION("and files go once nothing refers to them") {
+  SECTION("and files are deleted once no result refers to them") {
     CHECK(files.List().size() == 3);
     texts.DropBefore(refs.back().offset);
     CHECK(files.List().size() == 1);
@@ -46,7 +45,7 @@
   }
 }
 
-TEST_CASE("texts that come while others move to files stay in memory") {
+TEST_CASE("texts added while others move to files stay in memory") {
   storage::MemoryFileSystem files;
   ResultTexts texts(files);
   const TextRef first = texts.Add("first");
@@ -59,11 +58,10 @@
   CHECK(texts.Read(second) == "second");
 }
 
-// Symptom: after a power loss a result has another text. Sequence: texts are
-// written to files, power is lost before the snapshot that refers to them; the
-// log is applied again and the texts are written anew. Cause: what the first
-// attempt left in the file must be cut off.
-TEST_CASE("a move that a power loss interrupted is made again") {
+// Guards against a result with a wrong text after a power loss: texts were
+// written to files, but the snapshot that refers to them was not. The log is
+// applied again, and the leftover bytes in the file must be cut off.
+TEST_CASE("a move to files that a power loss interrupted is repeated") {
   storage::MemoryFileSystem files;
   {
     ResultTexts texts(files);
@@ -81,20 +79,20 @@
   CHECK(texts.Read({0, 4, Hash64("kept")}) == "kept");
 }
 
-TEST_CASE("damage is noticed") {
+TEST_CASE("damaged texts are detected") {
   storage::MemoryFileSystem files;
   ResultTexts texts(files);
   const TextRef ref = texts.Add("a text");
   MoveToFiles(texts);
   files.Corrupt(files.List().front(), 2);
   CHECK_THROWS_AS(texts.Read(ref), ResultError);
-  SECTION("also files that hold less than the snapshot says") {
+  SECTION("and so are files with fewer bytes than the snapshot records") {
     ResultTexts reopened(files);
     CHECK_THROWS_AS(reopened.Open(100), ResultError);
   }
 }
 
-TEST_CASE("texts of a member that was far behind follow a gap") {
+TEST_CASE("a member that was far behind stores imported texts after a gap") {
   storage::MemoryFileSystem files;
   ResultTexts texts(files);
   texts.Add("old");
--- a/src/batches/tests/storemember.h
+++ b/src/batches/tests/storemember.h
@@ -21,7 +21,8 @@
 
 namespace papayarack::batches {
 
-/// One member, on a loop of its own: whoever does not run it holds it up.
+/// One member with its own event loop, which makes progress only while the test
+/// runs it.
 class StoreMember {
  public:
   explicit StoreMember(consensus::MemberId id)
@@ -55,12 +56,12 @@
         [](const std::string& reason) { FAIL(reason); });
   }
 
-  /// Messages of the group that come from `other` do not arrive any more.
+  /// Drops all further group messages from `other`.
   void CutFrom(const StoreMember& other) {
     this->cut_from.push_back(other.Address());
   }
 
-  /// The member's disk answers nothing any more, or again.
+  /// Stalls the member's disk, or lets it continue.
   void StallDisk(bool stalls) { this->files.Stall(stalls); }
 
   void SetRoutes(routes::RouteTablePtr table) {
@@ -72,7 +73,8 @@
     this->context.restart();
   }
 
-  /// Runs what is ready, until that took `time` of the processor.
+  /// Runs handlers that are ready, until they have used `time` of processor
+  /// time.
   void RunWithin(std::chrono::nanoseconds time) {
     std::chrono::nanoseconds used{0};
     bool any = true;
@@ -82,7 +84,7 @@
     this->context.restart();
   }
 
-  /// The code of each answer is added to `codes`.
+  /// Sends a request; the code of each reply is added to `codes`.
   template <typename Message>
   void Ask(const std::string& path, const Message& message,
            std::vector<ResultCode>& codes) {
@@ -91,7 +93,7 @@
     });
   }
 
-  /// `answered` gets each answer.
+  /// Sends a request; `answered` is called with each reply.
   template <typename Message>
   void Call(const std::string& path, const Message& message,
             std::function<void(const coordination::GroupReply&)> answered) {
@@ -104,7 +106,7 @@
                      EncodeMessage(message), std::move(handlers));
   }
 
-  /// Bytes of all that this member keeps, its log above all.
+  /// Total size of this member's files, mostly its log.
   std::uint64_t BytesKept() const {
     std::uint64_t sum = 0;
     for (const std::string& name : this->files.List()) {
@@ -113,7 +115,7 @@
     return sum;
   }
 
-  bool leads = false;  ///< Has led at some time.
+  bool leads = false;  ///< Whether it has ever led.
 
  private:
   transport::PeerServerHandlers Handlers() {
@@ -121,7 +123,7 @@
     handlers.on_request = [this, handle = std::move(handlers.on_request)](
                               transport::StreamId stream, std::string_view path,
                               std::string body) {
-      // A message between members begins with its sender's address.
+      // A message between members starts with its sender's address.
       const bool lost = path.starts_with("/group/") &&
                         std::ranges::any_of(
                             this->cut_from, [&body](const std::string& sender) {
