--- /dev/null
+++ b/src/batches/internal/leasescheduler.cpp
@@ -0,0 +1,236 @@
+#include "batches/leasescheduler.h"
+
+#include <algorithm>
+#include <iterator>
+
+namespace papayarack::batches {
+namespace {
+
+/// Weight of one run in the moving average of the time from lease to result. It
+/// averages over about twenty items, so that it follows load changes.
+constexpr double kRunWeight = 0.05;
+
+}  // namespace
+
+void LeaseScheduler::Reset(Time now) {
+  this->queues.clear();
+  this->queue_ids.clear();
+  this->items.clear();
+  this->held_by_gate.clear();
+  this->removed.clear();
+  this->gates.clear();
+  this->settled = now + kSettleTime;
+}
+
+bool LeaseScheduler::Queue::Serves(const std::string& service) const {
+  return std::ranges::binary_search(this->services, service);
+}
+
+LeaseScheduler::QueueId LeaseScheduler::QueueFor(const Services& services) {
+  const auto [entry, added] =
+      this->queue_ids.try_emplace(services, this->queues.size());
+  if (added) {
+    this->queues.push_back({services, {}});
+  }
+  return entry->second;
+}
+
+void LeaseScheduler::MoveTo(QueueId queue, const ItemRef& item, Entry& entry) {
+  if (queue == entry.queue) {
+    return;
+  }
+  const QueueKey key = QueueKeyOf(item, entry);
+  if (this->queues[entry.queue].waiting.erase(key) > 0) {
+    this->queues[queue].waiting.insert(key);
+  }
+  entry.queue = queue;
+}
+
+void LeaseScheduler::Add(const ItemRef& item, Time due,
+                         const Services& services) {
+  const auto [entry, added] = this->items.try_emplace(item);
+  if (added) {
+    entry->second.queue = this->QueueFor(services);
+    entry->second.due = due;
+    entry->second.arrival = ++this->last_arrival;
+    this->queues[entry->second.queue].waiting.insert(
+        QueueKeyOf(item, entry->second));
+  }
+}
+
+std::vector<ItemRef> LeaseScheduler::FirstWaiting(const std::string& service,
+                                                  std::size_t max_count,
+                                                  Time earliest_end,
+                                                  bool in_time) const {
+  std::vector<QueueKey> keys;
+  for (const Queue& queue : this->queues) {
+    if (!queue.Serves(service)) {
+      continue;
+    }
+    const auto split = queue.waiting.lower_bound({earliest_end, 0, {}});
+    auto next = in_time ? split : queue.waiting.begin();
+    const auto end = in_time ? queue.waiting.end() : split;
+    for (std::size_t i = 0; i < max_count && next != end; ++i, ++next) {
+      keys.push_back(*next);
+    }
+  }
+  std::ranges::sort(keys);
+  keys.resize(std::min(keys.size(), max_count));
+  std::vector<ItemRef> first;
+  first.reserve(keys.size());
+  for (QueueKey& key : keys) {
+    first.push_back(std::move(std::get<ItemRef>(key)));
+  }
+  return first;
+}
+
+std::vector<ItemRef> LeaseScheduler::Take(const std::string& gate,
+                                          const std::string& service,
+                                          std::size_t room, Time now) {
+  std::vector<ItemRef> taken;
+  if (!this->Settled(now)) {
+    return taken;
+  }
+  const Time earliest_end = now + this->run_estimate;
+  taken = this->FirstWaiting(service, room, earliest_end, true);
+  std::ranges::move(
+      this->FirstWaiting(service, room - taken.size(), earliest_end, false),
+      std::back_inserter(taken));
+  for (const ItemRef& item : taken) {
+    this->Lease(item, gate, now);
+  }
+  return taken;
+}
+
+bool LeaseScheduler::HasWaitingFor(const std::string& service) const {
+  return std::ranges::any_of(this->queues, [&service](const Queue& queue) {
+    return !queue.waiting.empty() && queue.Serves(service);
+  });
+}
+
+std::size_t LeaseScheduler::Waiting() const {
+  std::size_t sum = 0;
+  for (const Queue& queue : this->queues) {
+    sum += queue.waiting.size();
+  }
+  return sum;
+}
+
+void LeaseScheduler::Remove(const ItemRef& item, Time now) {
+  const auto found = this->items.find(item);
+  if (found == this->items.end()) {
+    return;
+  }
+  Entry& entry = found->second;
+  if (!entry.holder.empty()) {
+    const double mean =
+        static_cast<double>(this->run_estimate.count()) * (1 - kRunWeight) +
+        static_cast<double>((now - entry.first_leased).count()) * kRunWeight;
+    this->run_estimate = Duration(static_cast<std::int64_t>(mean));
+    this->ReleaseLease(item, entry);
+  }
+  this->queues[entry.queue].waiting.erase(QueueKeyOf(item, entry));
+  this->removed.insert(item);
+  this->items.erase(found);
+}
+
+void LeaseScheduler::Lease(const ItemRef& item, const std::string& gate,
+                           Time now) {
+  Entry& entry = this->items.at(item);
+  this->queues[entry.queue].waiting.erase(QueueKeyOf(item, entry));
+  entry.holder = gate;
+  this->held_by_gate[gate].insert(item);
+  entry.first_leased = entry.first_leased == Time{} ? now : entry.first_leased;
+}
+
+void LeaseScheduler::Requeue(const ItemRef& item) {
+  Entry& entry = this->items.at(item);
+  this->ReleaseLease(item, entry);
+  this->queues[entry.queue].waiting.insert(QueueKeyOf(item, entry));
+}
+
+void LeaseScheduler::ReleaseLease(const ItemRef& item, Entry& entry) {
+  const auto of_gate = this->held_by_gate.find(entry.holder);
+  of_gate->second.erase(item);
+  if (of_gate->second.empty()) {
+    this->held_by_gate.erase(of_gate);
+  }
+  entry.holder.clear();
+}
+
+void LeaseScheduler::RequeueAllOf(const std::string& gate,
+                                  const std::set<ItemRef>& still_held) {
+  const auto of_gate = this->held_by_gate.find(gate);
+  if (of_gate == this->held_by_gate.end()) {
+    return;
+  }
+  std::vector<ItemRef> back;
+  std::ranges::copy_if(of_gate->second, std::back_inserter(back),
+                       [&still_held](const ItemRef& item) {
+                         return still_held.count(item) == 0;
+                       });
+  for (const ItemRef& item : back) {
+    this->Requeue(item);
+  }
+}
+
+void LeaseScheduler::Renew(const std::string& gate, std::uint64_t incarnation,
+                           const std::vector<ItemRef>& holding, Time now) {
+  this->gates[gate] = {incarnation, now};
+  this->RequeueAllOf(gate, {holding.begin(), holding.end()});
+  for (const ItemRef& item : holding) {
+    const auto found = this->items.find(item);
+    if (found != this->items.end() && found->second.holder.empty()) {
+      this->Lease(item, gate, now);
+    }
+  }
+}
+
+void LeaseScheduler::Return(const std::string& gate,
+                            const ReturnedItem& returned) {
+  const auto found = this->items.find(returned.item);
+  if (found == this->items.end()) {
+    return;
+  }
+  // The gate no longer reports it as held, so it may already wait again.
+  Entry& entry = found->second;
+  if (entry.holder.empty() || entry.holder == gate) {
+    if (returned.partial.last_event > entry.partial.last_event) {
+      entry.partial = returned.partial;
+    }
+    if (!entry.holder.empty()) {
+      this->Requeue(returned.item);
+    }
+  }
+}
+
+void LeaseScheduler::Expire(Time now) {
+  std::vector<std::string> silent;
+  for (const auto& [name, gate] : this->gates) {
+    if (now - gate.last_heard > kLeaseTime) {
+      silent.push_back(name);
+    }
+  }
+  for (const std::string& name : silent) {
+    this->gates.erase(name);
+    this->RequeueAllOf(name, {});
+  }
+}
+
+std::vector<ItemRef> LeaseScheduler::ToStop(
+    const std::vector<ItemRef>& holding) const {
+  std::vector<ItemRef> stop;
+  for (const ItemRef& item : holding) {
+    if (this->items.count(item) == 0) {
+      stop.push_back(item);
+    }
+  }
+  return stop;
+}
+
+PartialText LeaseScheduler::PartialOf(const ItemRef& item) const {
+  const auto found = this->items.find(item);
+  return found != this->items.end() ? found->second.partial : PartialText{};
+}
+
+}  // namespace papayarack::batches
--- a/src/control/internal/groupmember.cpp
+++ b/src/control/internal/groupmember.cpp
@@ -133,7 +133,7 @@
     return;
   }
   try {
-    const consensus::ProposalPlace position =
+    const consensus::ProposalPosition position =
         this->core->Propose(EncodeVariant(command));
     this->waiting.insert({position.index, {token, position.term}});
   } catch (const ResultError& error) {
@@ -180,7 +180,8 @@
         return member.id == change.id;
       });
     }
-    const consensus::ProposalPlace position = this->core->ProposeMembers(list);
+    const consensus::ProposalPosition position =
+        this->core->ProposeMembers(list);
     this->waiting.insert({position.index, {token, position.term}});
   } catch (const ResultError& error) {
     this->Refuse(token, error.result().code, error.what());
@@ -230,7 +231,7 @@
   if (!ready.before_sync.empty()) {
     this->handlers.send(ready.before_sync);
   }
-  this->writer->Offer(ready);
+  this->writer->Enqueue(ready);
   try {
     for (const consensus::Entry& entry : ready.committed) {
       this->Apply(entry);
@@ -298,8 +299,8 @@
   meta.blob_length = this->blob_store.length();
   this->snapshot_pending = true;
   this->bytes_since_snapshot = 0;
-  this->writer->OfferSnapshot(std::move(meta), this->machine.Save(),
-                              this->blob_store.TakeDirtyFiles());
+  this->writer->EnqueueSnapshot(std::move(meta), this->machine.Save(),
+                                this->blob_store.TakeDirtyFiles());
 }
 
 void GroupMember::OnSnapshotSaved(const consensus::SnapshotMeta& meta) {
--- a/src/replication/internal/logwriter.cpp
+++ b/src/replication/internal/logwriter.cpp
@@ -7,15 +7,12 @@
 
 namespace papayarack::replication {
 namespace {
-constexpr std::chrono::milliseconds kWait{200};
+constexpr std::chrono::milliseconds kPollInterval{200};
 }  // namespace
 
 LogWriter::LogWriter(storage::FileSystem& files, consensus::DurableLog& log,
                      LogWriterHandlers handlers)
-    : files(files),
-      log(log),
-      handlers(std::move(handlers)),
-      ring(kMostWaiting) {
+    : files(files), log(log), handlers(std::move(handlers)), ring(kMaxQueued) {
   this->thread = std::thread([this] { this->Run(); });
 }
 
@@ -24,7 +21,7 @@
   this->thread.join();
 }
 
-bool LogWriter::Offer(consensus::RaftReady& ready) {
+bool LogWriter::Enqueue(consensus::RaftReady& ready) {
   if (!ready.NeedsSync() && ready.after_sync.empty()) {
     return true;
   }
@@ -34,9 +31,9 @@
   return this->ring.Push(std::move(batch));
 }
 
-bool LogWriter::OfferSnapshot(consensus::SnapshotMeta meta, std::string state,
-                              std::vector<std::string> blob_files,
-                              std::function<void()> write_files) {
+bool LogWriter::EnqueueSnapshot(consensus::SnapshotMeta meta, std::string state,
+                                std::vector<std::string> blob_files,
+                                std::function<void()> write_files) {
   ++this->offered;
   return this->ring.Push(SnapshotWork{std::move(meta), std::move(state),
                                       std::move(blob_files),
@@ -51,7 +48,7 @@
 
 void LogWriter::Run() {
   while (true) {
-    std::vector<Work> works = this->ring.PopAll(kWait);
+    std::vector<Work> works = this->ring.PopAll(kPollInterval);
     if (works.empty()) {
       if (this->ring.Closed()) {
         return;
@@ -71,8 +68,8 @@
 }
 
 void LogWriter::WriteAll(std::vector<Work>& works) {
-  // Group commit: neighbours that only add entries share one sync.
-  std::vector<consensus::RaftMessage> leaving;
+  // Group commit: consecutive batches that only append entries share one sync.
+  std::vector<consensus::RaftMessage> messages;
   consensus::RaftBatch last;
   std::vector<consensus::Entry> entries;
   const auto flush = [&] {
@@ -80,8 +77,8 @@
       this->log.Write({}, entries, {});
       entries.clear();
     }
-    if (!leaving.empty()) {
-      this->handlers.send(std::exchange(leaving, {}));
+    if (!messages.empty()) {
+      this->handlers.send(std::exchange(messages, {}));
     }
     if (last.number != 0) {
       this->handlers.synced(std::exchange(last, {}));
@@ -99,7 +96,7 @@
                                                 std::back_inserter(entries));
                             }
                             std::ranges::move(batch.after_sync,
-                                              std::back_inserter(leaving));
+                                              std::back_inserter(messages));
                             last = batch.batch;
                           },
                           [&](SnapshotWork& snapshot) {
