--- a/src/control/internal/controlserver.cpp
+++ b/src/control/internal/controlserver.cpp
@@ -303,7 +303,7 @@
       return;
     }
     const Time now = MonotonicNow();
-    this->fleet.Heard(heartbeat.report, now);
+    this->fleet.OnHeartbeat(heartbeat.report, now);
     this->fleet.Refresh(now);
     HeartbeatReply body;
     const documents::DocumentBook& book = this->group->state().documents();
@@ -397,7 +397,7 @@
   void On(const WriterHasNews&) {
   }  // It wakes the thread; TakeWriterNews follows.
   void On(const PlatformList& list) {
-    this->fleet.PlatformSaysLeaving(list.leaving);
+    this->fleet.SetPlatformLeaving(list.leaving);
   }
   void On(const DumpWanted& wanted) {
     wanted.answer->set_value(this->BuildDump());
--- a/src/fleet/fleettable.h
+++ b/src/fleet/fleettable.h
@@ -12,7 +12,7 @@
 
 namespace papayarack::fleet {
 
-/// What a process says of itself in each heartbeat.
+/// A process's report about itself in each heartbeat.
 struct ProcessReport {
   std::string name;
   std::string role;
@@ -21,48 +21,48 @@
   std::string kind;               ///< side: engine or plain.
   std::string address;            ///< side: where its gate listens.
   std::uint64_t incarnation = 0;  ///< Grows with each start of the process.
-  std::uint64_t revision =
-      0;  ///< Highest document revision that it has in force.
+  std::uint64_t revision = 0;     ///< Highest document revision in force there.
   bool leaving = false;
-  std::uint32_t running = 0;       ///< side: requests at the upstream.
-  std::uint32_t limit = 0;         ///< side: learned limit of the upstream.
-  std::uint32_t waiting = 0;       ///< side: online requests in its queue.
-  std::uint32_t shared_limit = 0;  ///< side: requests until crowding shows.
+  std::uint32_t running = 0;  ///< side: requests at the upstream.
+  std::uint32_t limit = 0;    ///< side: learned limit of the upstream.
+  std::uint32_t waiting = 0;  ///< side: online requests in its queue.
+  /// side: concurrent requests at which they begin to slow each other down.
+  std::uint32_t shared_limit = 0;
   MSGPACK_DEFINE(name, role, zone, service, kind, address, incarnation,
                  revision, leaving, running, limit, waiting, shared_limit)
 };
 
-/// One process as the fleet knows it.
+/// One process of the fleet.
 struct FleetMember {
   ProcessReport report;
-  bool leaving = false;  ///< By its own word or the platform's; sticks for the
-                         ///< incarnation.
-  bool alive = true;     ///< Heard of lately.
-  std::int64_t quiet_ms = 0;  ///< Since it was last heard.
+  /// Reported by itself or the platform; permanent within an incarnation.
+  bool leaving = false;
+  bool alive = true;          ///< Sent a heartbeat recently.
+  std::int64_t quiet_ms = 0;  ///< Since its last heartbeat.
   MSGPACK_DEFINE(report, leaving, alive, quiet_ms)
 };
 
-/// Who is there: heartbeats joined with the platform's list. The rules: a
-/// report of an older incarnation is ignored; leaving, from either side, wins
-/// at once and is not undone in the same incarnation, whatever the other side
-/// says later. Thread safety: none.
+/// The processes of the fleet: heartbeats merged with the platform's list. A
+/// report of an older incarnation is ignored. A process that either side
+/// reports as leaving is leaving at once, for the rest of its incarnation,
+/// whatever either side reports later. Thread safety: none.
 class FleetTable {
  public:
-  /// `dead_after`: a process that was not heard for so long is not alive.
+  /// `dead_after`: silence after which a process counts as dead.
   explicit FleetTable(Duration dead_after) : dead_after(dead_after) {}
 
-  /// Takes a heartbeat; false when it is of an older incarnation.
-  bool Heard(const ProcessReport& report, Time now);
-  /// The platform says that these VMs are leaving; names it does not know are
-  /// remembered.
-  void PlatformSaysLeaving(const std::vector<std::string>& names);
-  /// All members with their state as of `now`; those quiet for long are
-  /// forgotten.
+  /// Handles a heartbeat. Returns false if it is of an older incarnation.
+  bool OnHeartbeat(const ProcessReport& report, Time now);
+  /// Sets the names that the platform lists as leaving. Unknown names are kept
+  /// for later heartbeats.
+  void SetPlatformLeaving(const std::vector<std::string>& names);
+  /// All members with their state as of `now`. Drops those that have been
+  /// silent for long.
   std::vector<FleetMember> Members(Time now);
-  /// Grows whenever the answer of Members changes in more than load or quiet
-  /// time.
+  /// Increases whenever the result of Members changes in more than load or
+  /// silence.
   std::uint64_t version() const { return this->change_count; }
-  /// Marks deaths as of `now`; call before reading version().
+  /// Updates which members are alive. Call before reading version().
   void Refresh(Time now);
 
  private:
@@ -72,12 +72,12 @@
     bool leaving = false;
     bool alive = true;
   };
-  static constexpr int kForgetAfterDeadTimes = 40;
+  static constexpr int kForgetAfterTimeouts = 40;
 
   Duration dead_after;
   std::map<std::string, Entry, std::less<>> entries;
-  std::map<std::string, std::uint64_t>
-      platform_leaving;  ///< Name to incarnation seen then.
+  /// Incarnation by name when first listed; zero: unknown.
+  std::map<std::string, std::uint64_t> platform_leaving;
   std::uint64_t change_count = 1;
 };
 
--- a/src/fleet/internal/fleettable.cpp
+++ b/src/fleet/internal/fleettable.cpp
@@ -4,7 +4,7 @@
 
 namespace papayarack::fleet {
 
-bool FleetTable::Heard(const ProcessReport& report, Time now) {
+bool FleetTable::OnHeartbeat(const ProcessReport& report, Time now) {
   const auto [place, fresh] = this->entries.try_emplace(report.name);
   Entry& entry = place->second;
   if (!fresh && report.incarnation < entry.report.incarnation) {
@@ -15,9 +15,9 @@
     entry.leaving = false;
     const auto listed = this->platform_leaving.find(report.name);
     if (listed != this->platform_leaving.end()) {
-      // The list named it before this start was known. The list lags, so the
-      // mark counts for an unknown or the same start, and not for one that came
-      // after the mark was seen.
+      // The list named it before this start was known. As the list lags, the
+      // mark applies to the incarnation known when it was first listed, or else
+      // to the first one seen after that, but not to later ones.
       const bool marked_now =
           listed->second == 0 || listed->second == report.incarnation;
       listed->second =
@@ -38,7 +38,7 @@
   return true;
 }
 
-void FleetTable::PlatformSaysLeaving(const std::vector<std::string>& names) {
+void FleetTable::SetPlatformLeaving(const std::vector<std::string>& names) {
   std::erase_if(this->platform_leaving, [&names](const auto& listed) {
     return std::ranges::find(names, listed.first) == names.end();
   });
@@ -56,7 +56,7 @@
 }
 
 void FleetTable::Refresh(Time now) {
-  const Duration forget_after = this->dead_after * kForgetAfterDeadTimes;
+  const Duration forget_after = this->dead_after * kForgetAfterTimeouts;
   const std::size_t forgotten =
       std::erase_if(this->entries, [&](const auto& entry) {
         return now - entry.second.heard > forget_after;
