--- a/src/coordination/acknowledgementqueue.h
+++ b/src/coordination/acknowledgementqueue.h
@@ -1,5 +1,5 @@
-#ifndef PAPAYARACK_COORDINATION_ACKNOWLEDGEMENTHOLD_H_
-#define PAPAYARACK_COORDINATION_ACKNOWLEDGEMENTHOLD_H_
+#ifndef PAPAYARACK_COORDINATION_ACKNOWLEDGEMENTQUEUE_H_
+#define PAPAYARACK_COORDINATION_ACKNOWLEDGEMENTQUEUE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -13,65 +13,66 @@
 namespace papayarack::coordination {
 
 /// Decides when the leader acknowledges a configuration that the group has
-/// confirmed: once all entries that it hears from obey it, or after a bound.
-/// Load pattern: a large configuration, with another or a loss of power right
-/// after its acknowledgement. Symptom guarded against: entries answer by an
-/// older configuration seconds after a newer one was acknowledged, because a
-/// quorum's logs say nothing of who obeys, and whatever slows the spread or
-/// ends the leader comes after the acknowledgement. Does no I/O. Thread safety:
-/// none.
-class AcknowledgementHold {
+/// committed: once every entry that reports to it has applied the
+/// configuration, or after a bound. Without the wait, entries serve by an older
+/// configuration seconds after a newer one was acknowledged: a commit only
+/// means that a quorum's logs hold it, and a slow distribution of a large
+/// configuration, the next one, or the loss of the leader comes after that.
+/// Does no I/O. Thread safety: none.
+class AcknowledgementQueue {
  public:
-  /// Most that an acknowledgement is held, and TimeToCarry of the text more.
-  /// Operators move on after a second; an entry's attempt takes 450 ms, of
-  /// which the log needs 30 to 100 ms. Six times what a small change takes to
-  /// reach all entries (50 ms).
-  static constexpr std::chrono::milliseconds kLongest{300};
-  /// An entry that was silent for longer is not waited for: it reports at least
-  /// once a second, and what is gone would hold up every acknowledgement.
-  static constexpr std::chrono::milliseconds kInTouch{1300};
+  /// Longest delay of an acknowledgement; TimeToCarry of the text is added. Six
+  /// times what a small change takes to reach all entries (50 ms). Operators
+  /// try another process after 1 s; an entry's attempt takes 450 ms, of which
+  /// the log needs 30 to 100 ms.
+  static constexpr std::chrono::milliseconds kMaxDelay{300};
+  /// Entries silent for longer than this are not waited for. Entries report at
+  /// least once a second; one that is gone would delay every acknowledgement.
+  static constexpr std::chrono::milliseconds kReportTimeout{1300};
 
-  /// A new leader, which knows of no entry until all have reported.
+  /// Resets the state for a new leader, which knows no entry until all have
+  /// reported.
   void Clear(Time now);
-  /// An entry reports which version it obeys.
-  void Heard(const std::string& entry, std::uint64_t version, Time now);
-  /// `stream` waits for the acknowledgement of `version`, whose text has so
-  /// many bytes. The group has confirmed it. The bound counts from the first
-  /// call for that version or a newer one: an operator that sends it again,
-  /// elsewhere, does not wait anew.
-  void Hold(transport::StreamId stream, std::uint64_t version,
-            std::size_t bytes, Time now);
+  /// Records which version an entry has applied.
+  void OnReport(const std::string& entry, std::uint64_t version, Time now);
+  /// Queues the acknowledgement of the committed `version`, whose text has
+  /// `bytes` bytes, for `stream`. The bound counts from the first call for that
+  /// version or a newer one, so that it does not start again if an operator
+  /// submits the version again elsewhere.
+  void Add(transport::StreamId stream, std::uint64_t version, std::size_t bytes,
+           Time now);
 
-  /// An acknowledgement that is to leave now.
-  struct Released {
+  /// An acknowledgement to send now.
+  struct Acknowledgement {
     transport::StreamId stream = 0;
     std::uint64_t version = 0;
-    Duration held_for{};
-    /// Entries in touch that do not obey the version yet.
+    Duration delay{};
+    /// Reporting entries that have not applied the version yet.
     std::size_t lagging = 0;
     std::string first_lagging;  ///< Name of one of them.
   };
-  /// Those that are due; call it every 20 ms or so.
-  std::vector<Released> Release(Time now);
-  /// All: this member does not lead any more, and hears from nobody.
-  std::vector<Released> ReleaseAll(Time now);
+  /// Removes and returns those that are due. Call it about every 20 ms.
+  std::vector<Acknowledgement> TakeDue(Time now);
+  /// Removes and returns all, when this member no longer leads and so receives
+  /// no more reports.
+  std::vector<Acknowledgement> TakeAll(Time now);
 
  private:
   struct Report {
     std::uint64_t version = 0;
     Time heard{};
   };
-  struct Held {
+  struct Pending {
     transport::StreamId stream;
     std::uint64_t version = 0;
     Time since{};
     Time until{};
   };
-  Released MakeReleased(const Held& held, Time now) const;
+  Acknowledgement MakeAcknowledgement(const Pending& pending, Time now) const;
 
   std::map<std::string, Report> entries;
-  std::vector<Held> waiting;
-  /// The newest version that was held in this term, and its bound.
+  std::vector<Pending> waiting;
+  /// The newest version queued in this term, and its bound.
   std::uint64_t newest = 0;
   Time newest_until{};
   Time leads_since{};
@@ -79,4 +80,4 @@
 
 }  // namespace papayarack::coordination
 
-#endif  // PAPAYARACK_COORDINATION_ACKNOWLEDGEMENTHOLD_H_
+#endif  // PAPAYARACK_COORDINATION_ACKNOWLEDGEMENTQUEUE_H_
--- a/src/coordination/changelist.h
+++ b/src/coordination/changelist.h
@@ -11,29 +11,29 @@
 
 namespace papayarack::coordination {
 
-/// What became of a list since a revision.
+/// The changes of a list since a revision.
 template <typename Item>
 struct ListChanges {
-  /// `set` is the whole list: what is not in it is gone.
+  /// `set` is the complete list; items not in it are gone.
   bool whole = false;
   std::vector<Item> set;
   std::vector<std::string> removed;  ///< Keys.
 };
 
-/// A list whose readers learn what changed since the revision that they have.
-/// Symptom guarded against: one replica that drains costs a copy of the list of
-/// all replicas for every process, which grows with the product of both and
-/// keeps the leader's link full while a rolling release makes two changes a
+/// A list that gives readers the changes since the revision they have. Sending
+/// complete lists instead costs one copy of all replicas for every process
+/// whenever one replica drains. That grows with the product of both numbers and
+/// keeps the leader's link full during a rolling release with two changes a
 /// second. Thread safety: none.
 ///
-/// `kAudience` is the member of Item that says which readers want it: no filter
-/// (`wanted`) looks at another one, the key aside. Symptom guarded against: an
-/// item that is replaced by one for other readers stays with those it was for,
-/// as nothing that they want has changed.
+/// `kAudience` is the member of Item that decides which readers want it: a
+/// filter (`wanted`) reads only this member and the key. When it changes, a
+/// tombstone removes the item from its former readers, which would otherwise
+/// keep it because nothing that they want has changed.
 template <typename Item, auto kAudience>
 class ChangeList {
  public:
-  /// Adds or replaces; true when that changed the list.
+  /// Adds or replaces an item. Returns true if the list changed.
   bool Set(const std::string& key, const Item& item) {
     const auto found = this->items.find(key);
     if (found == this->items.end()) {
@@ -46,7 +46,7 @@
     }
     ++this->current;
     if (std::invoke(kAudience, entry.item) != std::invoke(kAudience, item)) {
-      this->Bury(key, std::move(entry.item));
+      this->AddTombstone(key, std::move(entry.item));
     }
     entry = {item, this->current};
     return true;
@@ -58,30 +58,31 @@
       return false;
     }
     ++this->current;
-    this->Bury(key, std::move(found->second.item));
+    this->AddTombstone(key, std::move(found->second.item));
     this->items.erase(found);
     return true;
   }
 
-  /// Empties it; every reader needs the whole list from now on.
+  /// Empties the list. Every reader then needs the complete list.
   void Clear() {
     this->items.clear();
-    this->tombs.clear();
-    this->MakeAllWhole();
+    this->tombstones.clear();
+    this->RequireFullList();
   }
 
-  /// Every reader needs the whole list from now on.
-  void MakeAllWhole() { this->oldest = ++this->current; }
+  /// Makes every reader fetch the complete list next.
+  void RequireFullList() { this->oldest = ++this->current; }
 
   std::uint64_t revision() const { return this->current; }
 
-  /// Whether something that `wanted` (of Item) selects changed since then.
+  /// Whether an item that `wanted` (a predicate on Item) selects has changed
+  /// since `revision`.
   template <typename Wanted>
   bool ChangedSince(std::uint64_t revision, const Wanted& wanted) const {
     if (revision == this->current) {
       return false;
     }
-    if (this->NeedsWhole(revision)) {
+    if (this->NeedsFullList(revision)) {
       return true;
     }
     const auto changed = [&](const Entry& entry) {
@@ -90,28 +91,29 @@
     return std::ranges::any_of(
                this->items,
                [&](const auto& item) { return changed(item.second); }) ||
-           std::ranges::any_of(this->tombs, [&](const Tomb& tomb) {
-             return changed(tomb.entry);
-           });
+           std::ranges::any_of(this->tombstones,
+                               [&](const Tombstone& tombstone) {
+                                 return changed(tombstone.entry);
+                               });
   }
 
-  /// What changed of the items that `wanted` selects; the whole list where the
-  /// revision is too old to say. What was removed and came back stands in both
+  /// The changes of the items that `wanted` selects, or the complete list if
+  /// `revision` is too old. An item that was removed and added again is in both
   /// parts.
   template <typename Wanted>
   ListChanges<Item> Since(std::uint64_t revision, const Wanted& wanted) const {
     ListChanges<Item> changes;
-    changes.whole = this->NeedsWhole(revision);
+    changes.whole = this->NeedsFullList(revision);
     for (const auto& [key, entry] : this->items) {
       const bool news = changes.whole || entry.revision > revision;
       if (news && wanted(entry.item)) {
         changes.set.push_back(entry.item);
       }
     }
-    for (const Tomb& tomb : this->tombs) {
-      if (!changes.whole && tomb.entry.revision > revision &&
-          wanted(tomb.entry.item)) {
-        changes.removed.push_back(tomb.key);
+    for (const Tombstone& tombstone : this->tombstones) {
+      if (!changes.whole && tombstone.entry.revision > revision &&
+          wanted(tombstone.entry.item)) {
+        changes.removed.push_back(tombstone.key);
       }
     }
     return changes;
@@ -133,34 +135,34 @@
     Item item;
     std::uint64_t revision = 0;
   };
-  /// What a key stood for until that revision.
-  struct Tomb {
+  /// The item that a key had until that revision.
+  struct Tombstone {
     std::string key;
     Entry entry;
   };
-  /// Readers ask at least once a second; as many removals in that time would be
-  /// a third of the largest fleet.
-  static constexpr std::size_t kMostTombs = 1000;
+  /// Readers ask at least once a second; this many removals within that time
+  /// would be a third of the largest fleet.
+  static constexpr std::size_t kMaxTombstones = 1000;
 
-  bool NeedsWhole(std::uint64_t revision) const {
+  bool NeedsFullList(std::uint64_t revision) const {
     return revision < this->oldest || revision > this->current;
   }
 
-  void Bury(const std::string& key, Item item) {
-    this->tombs.push_back({key, {std::move(item), this->current}});
-    if (this->tombs.size() > kMostTombs) {
-      this->tombs.clear();
+  void AddTombstone(const std::string& key, Item item) {
+    this->tombstones.push_back({key, {std::move(item), this->current}});
+    if (this->tombstones.size() > kMaxTombstones) {
+      this->tombstones.clear();
       this->oldest = this->current;
     }
   }
 
   std::map<std::string, Entry> items;
-  std::vector<Tomb> tombs;  ///< Oldest first; a key may have several.
+  std::vector<Tombstone> tombstones;  ///< Oldest first; a key may have several.
   std::uint64_t current = 1;
-  std::uint64_t oldest = 1;  ///< First revision whose readers need no whole.
+  std::uint64_t oldest = 1;  ///< First revision that can be updated by changes.
 };
 
-/// What a reader holds after `changes`: `held` are its items by `key_of`.
+/// Applies `changes` to the reader's items `held`, whose keys `key_of` returns.
 template <typename Item, typename KeyOf>
 void ApplyChanges(std::vector<Item>& held, const ListChanges<Item>& changes,
                   const KeyOf& key_of) {
--- a/src/coordination/configurationhistory.h
+++ b/src/coordination/configurationhistory.h
@@ -1,5 +1,5 @@
-#ifndef PAPAYARACK_COORDINATION_CONFIGURATIONSHELF_H_
-#define PAPAYARACK_COORDINATION_CONFIGURATIONSHELF_H_
+#ifndef PAPAYARACK_COORDINATION_CONFIGURATIONHISTORY_H_
+#define PAPAYARACK_COORDINATION_CONFIGURATIONHISTORY_H_
 
 #include <map>
 #include <optional>
@@ -12,37 +12,39 @@
 
 namespace papayarack::coordination {
 
-/// The configuration in force as a member of the group gives it to others: its
-/// chunks, and what the versions just before it consisted of. Thread safety:
-/// none.
-class ConfigurationShelf {
+/// The chunks of the configuration in force, as a member of the group serves
+/// them, and the chunk hashes of the last versions, to compute what a process
+/// lacks. Thread safety: none.
+class ConfigurationHistory {
  public:
-  /// A change of at most this many bytes leaves with the leader's answer; a
+  /// A change of at most this many bytes is sent in the leader's reply; a
   /// larger one is fetched. 16 KB for each of 130 processes are 2 MB, 0.2 s of
-  /// a link of 100 Mbit/s; a route more is one chunk of 4 KB.
-  static constexpr std::size_t kInlineBytes = 16U << 10U;
-  /// Versions remembered: a process that is further behind fetches.
+  /// a link of 100 Mbit/s; one more route is one chunk of 4 KB.
+  static constexpr std::size_t kMaxInlineBytes = 16U << 10U;
+  /// Versions remembered; a process that is further behind fetches.
   static constexpr std::size_t kVersionsKept = 8;
 
-  /// Takes the text in force if its version is another than that held.
+  /// Sets the text in force if its version differs from the current one.
   void Set(std::uint64_t version, std::string_view text);
   const TextManifest& manifest() const { return this->current; }
-  const ChunkIndex& index() const { return this->places; }
+  const ChunkIndex& index() const { return this->index_of_current; }
 
-  /// The chunks that a holder of `version` (zero: of nothing) lacks, from
-  /// `text`, the one that was set; nothing where that is not known or too much.
+  /// The chunks that a process with `version` (zero: no text) lacks. `text`
+  /// must be the one passed to Set. Empty if the version is unknown or the
+  /// chunks exceed kMaxInlineBytes.
   std::optional<std::vector<std::string>> InlineChunks(
       std::uint64_t version, std::string_view text) const;
-  bool GoesInline(std::uint64_t version) const;
+  bool FitsInline(std::uint64_t version) const;
 
  private:
-  std::optional<std::vector<ChunkName>> Lacking(std::uint64_t version) const;
+  std::optional<std::vector<ChunkName>> FindMissing(
+      std::uint64_t version) const;
 
   TextManifest current;
-  ChunkIndex places;
-  std::map<std::uint64_t, std::unordered_set<std::uint64_t>> history;
+  ChunkIndex index_of_current;
+  std::map<std::uint64_t, std::unordered_set<std::uint64_t>> hashes_by_version;
 };
 
 }  // namespace papayarack::coordination
 
-#endif  // PAPAYARACK_COORDINATION_CONFIGURATIONSHELF_H_
+#endif  // PAPAYARACK_COORDINATION_CONFIGURATIONHISTORY_H_
--- a/src/coordination/contentchunks.h
+++ b/src/coordination/contentchunks.h
@@ -11,12 +11,12 @@
 
 #include "global/messagecodec.h"
 
-/// A text as a list of chunks, so that a process that holds an earlier version
-/// fetches only what differs, and one whose transfer broke goes on with what it
+/// Splits a text into chunks, so that a process with an earlier version fetches
+/// only the differences, and an interrupted transfer resumes with the chunks it
 /// has. Nothing here does I/O.
 namespace papayarack::coordination {
 
-/// Names a chunk by its content.
+/// Identifies a chunk by its content.
 struct ChunkName {
   std::uint64_t hash = 0;
   std::uint32_t size = 0;  ///< In bytes.
@@ -33,9 +33,9 @@
   std::size_t Bytes() const;
 };
 
-/// Splits where the content says so: an insertion moves no boundary but those
-/// beside it. Chunks have 4.9 KB on average, 16 KiB at most; a text of 400 KB
-/// becomes eighty.
+/// Content-defined chunking: an insertion moves only the boundaries next to it.
+/// Chunks have 4.9 KB on average, 16 KiB at most; a text of 400 KB has about
+/// eighty.
 TextManifest SplitText(std::uint64_t version, std::string_view text);
 
 /// Finds the chunks of one text. Thread safety: none.
@@ -44,42 +44,41 @@
   ChunkIndex() = default;
   explicit ChunkIndex(const TextManifest& manifest);
 
-  /// The chunk's bytes within `text`, which is the text that the manifest was
-  /// made from; nothing where it has no such chunk.
+  /// The chunk's bytes within `text`, which must be the text that the manifest
+  /// was made from. Empty if it has no such chunk.
   std::optional<std::string_view> Find(std::string_view text,
                                        std::uint64_t hash) const;
-  bool Has(std::uint64_t hash) const { return this->places.count(hash) > 0; }
+  bool Has(std::uint64_t hash) const { return this->positions.count(hash) > 0; }
 
  private:
-  struct Place {
+  struct Position {
     std::size_t offset = 0;
     std::size_t size = 0;
   };
-  std::unordered_map<std::uint64_t, Place> places;
+  std::unordered_map<std::uint64_t, Position> positions;
 };
 
-/// A text on its way: what is there of it, what is missing. Thread safety:
-/// none.
+/// A text that is being assembled from chunks. Thread safety: none.
 class TextAssembly {
  public:
-  /// Starts on the text of `manifest`; chunks taken for another text before
-  /// stay, as successive versions share most of them.
+  /// Starts assembling the text of `manifest`. Keeps chunks of the previous
+  /// text that it needs, as successive versions share most of them.
   void Begin(TextManifest manifest);
-  /// Takes the chunks of a text that is held in full.
+  /// Adds the chunks of a complete text.
   void TakeText(std::string_view text);
-  /// Takes one chunk, whose name follows from its bytes; false where the text
-  /// has no such chunk.
+  /// Adds a chunk, identified by the hash of its bytes. Returns false if the
+  /// text has no such chunk.
   bool TakeChunk(std::string bytes);
-  /// The next chunks to ask for, in order, of at most `bytes` together (one at
-  /// least, if any is missing), without those whose hashes are in `except`.
+  /// The next missing chunks, in order, of at most `bytes` together (at least
+  /// one, if any is missing), without those whose hashes are in `except`.
   std::vector<ChunkName> Missing(
       std::size_t bytes,
       const std::unordered_set<std::uint64_t>& except = {}) const;
   bool Has(std::uint64_t hash) const { return this->taken.count(hash) > 0; }
   std::size_t MissingBytes() const;
   std::size_t TakenBytes() const { return this->taken_bytes; }
-  /// The whole text; nothing while chunks are missing, or where they do not
-  /// make up the text that was named (then all are dropped).
+  /// The complete text. Empty while chunks are missing, or if the digest does
+  /// not match (all chunks are then dropped).
   std::optional<std::string> Finish();
   const TextManifest& manifest() const { return this->wanted; }
 
--- a/src/coordination/coordinationmessages.h
+++ b/src/coordination/coordinationmessages.h
@@ -13,26 +13,26 @@
 /// Messages between any process and the members of the coordination group.
 namespace papayarack::coordination {
 
-/// In place of an age: this leader has not read the platform's list yet.
+/// Stands in for an age if this leader has not read the platform's list yet.
 inline constexpr std::uint32_t kEnginesNeverRead = UINT32_MAX;
 
 enum class NodeRole : std::uint8_t { kEntry = 0, kGate = 1, kStore = 2 };
 
-/// What a process says of itself.
+/// What a process reports about itself.
 struct NodeReport {
   std::string name;
   std::uint8_t role = 0;
   std::string address;  ///< host:port of its listener for other processes.
   std::string zone;
   std::uint64_t incarnation = 0;  ///< New at every start.
-  std::uint64_t member = 0;       ///< Could be a group's member; zero: not.
-  std::string engine_address;     ///< Gate: the engine that it guards.
-  std::string service;            ///< Gate: the engine's service.
+  std::uint64_t member = 0;    ///< Id as a possible group member; zero: none.
+  std::string engine_address;  ///< Gate: its engine.
+  std::string service;         ///< Gate: the engine's service.
   /// Store: addresses of the job group's members, from its leader only.
   std::vector<std::string> job_members;
   std::uint64_t job_term = 0;
-  bool durable = false;  ///< `member` lives on a disk, not in memory.
-  /// Owns no engines: it is leaving, or, as the leader says, silent.
+  bool durable = false;  ///< The state of `member` is on disk, not in memory.
+  /// Owns no engines: it is leaving or, as marked by the leader, silent.
   bool away = false;
   MSGPACK_DEFINE(name, role, address, zone, incarnation, member, engine_address,
                  service, job_members, job_term, durable, away)
@@ -49,37 +49,39 @@
   std::string zone;
   std::uint32_t slots = 0;
   bool draining = false;
-  /// Unix time of its start in milliseconds, by its own clock: with `id` it
-  /// names one start of a replica. Zero: not known.
+  /// Unix time of its start in milliseconds, by its own clock. Together with
+  /// `id` it identifies one start of a replica. Zero: unknown.
   std::uint64_t started_ms = 0;
   MSGPACK_DEFINE(id, service, address, zone, slots, draining, started_ms)
   bool operator==(const EngineInstance&) const = default;
 
-  /// Names the instance within a list: an id may come back elsewhere.
+  /// Identifies the instance within a list: another replica may reuse the id.
   std::string Key() const { return this->id + "@" + this->address; }
 };
 
-/// A report, and a question for all that changed since what the sender has. The
-/// leader keeps it open until something changes or kWatchHold is over.
+/// A report of the sender and a long poll for all changes since the state that
+/// it has. The leader answers when something changes or after kWatchTimeout.
 struct WatchRequest {
   NodeReport self;
   std::uint64_t config_version = 0;
   std::uint64_t term = 0;  ///< Term that the revisions below belong to.
   std::uint64_t nodes_revision = 0;
   std::uint64_t engines_revision = 0;
-  /// The sender takes lists as changes and the text in chunks; one of an
-  /// earlier version takes both whole.
+  /// The sender accepts list changes and text chunks. Senders of an earlier
+  /// version need complete lists and texts.
   bool takes_changes = false;
-  std::string fetching_from;  ///< A fetch of a text is under way; or empty.
+  std::string fetching_from;  ///< Source of the running fetch; empty: none.
   std::uint64_t fetching_version = 0;  ///< Of that text.
-  /// A member of this release: knows ChangeConfiguration in the group's log.
+  /// The sender, if a member, can apply ChangeConfiguration from the group's
+  /// log.
   bool applies_changes = false;
-  /// Entry: replicas that crashed, requests that one of them ran to the end.
+  /// Entry: crashes of replicas, and requests that a replica completed.
   std::vector<quarantine::CrashReport> crashes;
   std::vector<quarantine::Fingerprint> survived;
-  /// Entry: requests that an earlier leader named.
+  /// Entry: requests that an earlier leader quarantined.
   std::vector<quarantine::Fingerprint> quarantined;
-  /// Of the list that the sender has; zero: none, or an earlier release.
+  /// Revision of the sender's quarantine list; zero: it has none, or is of an
+  /// earlier release.
   std::uint64_t quarantine_revision = 0;
   MSGPACK_DEFINE(self, config_version, term, nodes_revision, engines_revision,
                  takes_changes, fetching_from, fetching_version,
@@ -93,10 +95,11 @@
   std::vector<std::string> members;  ///< Addresses of the group's members.
   std::uint64_t term = 0;
   std::uint64_t config_version = 0;
-  std::string config;  ///< Text, when newer, for those that take it whole.
+  std::string config;  ///< Full text, if newer, for senders that need it.
   std::uint64_t nodes_revision = 0;
   bool has_nodes = false;
-  /// The table is complete: the leader has led for longer than a report takes.
+  /// The table is complete: the leader has led for longer than all processes
+  /// take to report.
   bool nodes_settled = false;
   std::vector<NodeReport> nodes;
   std::uint64_t engines_revision = 0;
@@ -104,65 +107,66 @@
   std::uint32_t engines_age_ms = 0;  ///< Or kEnginesNeverRead.
   std::vector<EngineInstance> engines;
   consensus::MemberList job_founders;
-  std::vector<std::string> leaving;  ///< Names of stores to be emptied.
-  /// `nodes`, `engines` hold only what changed; the removed are named here.
+  std::vector<std::string> leaving;  ///< Names of stores being emptied.
+  /// `nodes` or `engines` holds only changes; removed items are named here.
   bool nodes_partial = false;
   std::vector<std::string> nodes_removed;
   bool engines_partial = false;
-  std::vector<std::string> engines_removed;  ///< Of EngineInstance::Key.
+  std::vector<std::string> engines_removed;  ///< Keys (EngineInstance::Key).
   TextManifest manifest;  ///< Of a newer configuration, or of version zero.
-  std::vector<std::string> chunks;  ///< Of that text, as far as they are few.
-  std::string source;         ///< Where the other chunks are to be fetched.
-  std::uint32_t entries = 0;  ///< Processes behind the balancer.
-  bool names_hosts = false;   ///< Enough have reported to give engines hosts.
+  std::vector<std::string> chunks;  ///< Missing chunks, if few.
+  std::string source;               ///< Address to fetch the chunks from.
+  std::uint32_t entries = 0;        ///< Processes behind the balancer.
+  bool hosts_known = false;         ///< Enough have reported to assign engines.
   std::uint64_t quarantine_revision = 0;
   bool has_quarantined = false;
-  /// For entries: requests that crash the replicas that run them.
+  /// For entries: quarantined requests, which crash replicas.
   std::vector<quarantine::Fingerprint> quarantined;
   MSGPACK_DEFINE(code, leader, members, term, config_version, config,
                  nodes_revision, has_nodes, nodes_settled, nodes,
                  engines_revision, has_engines, engines_age_ms, engines,
                  job_founders, leaving, nodes_partial, nodes_removed,
                  engines_partial, engines_removed, manifest, chunks, source,
-                 entries, names_hosts, quarantine_revision, has_quarantined,
+                 entries, hosts_known, quarantine_revision, has_quarantined,
                  quarantined)
 };
 
-/// Asks any process for chunks of the configuration that it holds.
+/// Requests chunks of the configuration from any process.
 struct ChunksWanted {
   std::vector<ChunkName> chunks;
   MSGPACK_DEFINE(chunks)
 };
 struct ChunksFound {
-  std::vector<std::string> chunks;  ///< Those that were found, in any order.
+  std::vector<std::string> chunks;  ///< The chunks found, in any order.
   MSGPACK_DEFINE(chunks)
 };
 
-/// Asks for the configuration. Its text is left out where the asker holds it,
-/// and refused with kNotReady where it is large: the asker's watch brings it.
+/// Reads the configuration. The reply omits the text if the sender has that
+/// version. A large text is refused with kNotReady: the sender's watch delivers
+/// it.
 struct ReadConfiguration {
   std::uint64_t held_version = 0;
   MSGPACK_DEFINE(held_version)
 };
 
-/// Who the members are, told to processes that may not know any.
+/// The group's members, announced to processes that may know none.
 struct AnnounceMembers {
   std::vector<std::string> members;
   std::string leader;
   MSGPACK_DEFINE(members, leader)
 };
 
-/// A command for the group's log or a read, and its answer.
+/// Commands for the group's log, and reads.
 struct SubmitConfiguration {
   std::uint64_t version = 0;
   std::string text;
   MSGPACK_DEFINE(version, text)
 };
-/// The same as what differs from the text in force where the command stands in
-/// the log.
+/// A configuration as the difference from the text in force at the command's
+/// position in the log.
 struct ChangeConfiguration {
   TextManifest manifest;            ///< Of the new text.
-  std::vector<std::string> chunks;  ///< Those that the text before lacks.
+  std::vector<std::string> chunks;  ///< Chunks that the previous text lacks.
   MSGPACK_DEFINE(manifest, chunks)
 };
 struct FoundJobGroup {
@@ -174,19 +178,19 @@
   MSGPACK_DEFINE(name)
 };
 struct ReadQuery {
-  std::string store;  ///< With EmptyStore reads: whose state is asked for.
+  std::string store;  ///< Name of the store whose state is read.
   MSGPACK_DEFINE(store)
 };
 
-/// The answer of any group member to any call.
+/// The reply of a group member to any call.
 struct GroupReply {
   int code = 0;
-  std::string leader;  ///< With kNotLeader: whom to ask, when known.
+  std::string leader;  ///< With kNotLeader: the leader, if known.
   std::string body;
   MSGPACK_DEFINE(code, leader, body)
 };
 
-/// How far the emptying of a store is.
+/// Progress of emptying a store.
 struct StoreState {
   bool known = false;
   bool leaving = false;
--- a/src/coordination/coordinationstate.h
+++ b/src/coordination/coordinationstate.h
@@ -10,27 +10,27 @@
 
 namespace papayarack::coordination {
 
-/// What the coordination group's log holds. Alternatives are only ever added at
-/// the end.
+/// The commands in the coordination group's log. New alternatives are only
+/// added at the end, as the index is stored.
 using CoordinationCommand = std::variant<SubmitConfiguration, FoundJobGroup,
                                          EmptyStore, ChangeConfiguration>;
 
-/// The durable state of the coordination group: the configuration in force,
-/// who founded the job group, which stores are being emptied. Thread safety:
+/// The durable state of the coordination group: the configuration in force, the
+/// founders of the job group, and the stores being emptied. Thread safety:
 /// none.
 class CoordinationState {
  public:
-  /// Applies one committed command; malformed ones change nothing.
+  /// Applies one committed command. A malformed one changes nothing.
   void Apply(std::string_view command);
   std::string Save() const;
   /// Throws ResultError(kProtocol) on malformed bytes.
   void Load(std::string_view bytes);
 
   /// The highest version wins; an equal or lower one changes nothing, so that a
-  /// resent or late configuration never takes back a newer one.
+  /// repeated or late configuration never replaces a newer one.
   std::uint64_t version() const { return this->data.version; }
   const std::string& text() const { return this->data.text; }
-  /// Empty until the job group was founded; it is founded once.
+  /// Empty until the job group is founded, which happens once.
   const consensus::MemberList& job_founders() const {
     return this->data.job_founders;
   }
--- a/src/coordination/coordinator.h
+++ b/src/coordination/coordinator.h
@@ -11,11 +11,11 @@
 #include <vector>
 
 #include "coordination/changelist.h"
-#include "coordination/configurationshelf.h"
+#include "coordination/configurationhistory.h"
 #include "coordination/coordinationstate.h"
 #include "coordination/groupenvironment.h"
 #include "coordination/nodetable.h"
-#include "coordination/quarantinekeeper.h"
+#include "coordination/quarantinetracker.h"
 #include "coordination/submissions.h"
 #include "coordination/transferplan.h"
 #include "replication/replicatedgroup.h"
@@ -25,7 +25,7 @@
 
 namespace papayarack::coordination {
 
-/// Where the group is, as far as this process has learned.
+/// The group's leader and members, as far as this process knows them.
 struct LeaderHint {
   std::string leader;  ///< Empty when it is not known.
   std::vector<std::string> members;
@@ -33,30 +33,30 @@
 
 struct CoordinatorOptions {
   consensus::MemberId member = 0;
-  bool has_disk = false;  ///< Not when the group is kept in memory.
+  bool has_disk = false;  ///< False if the group is kept in memory.
   std::string address;
-  std::size_t losses_borne = 1;  ///< VMs with a disk lost at once.
+  std::size_t losses_borne = 1;  ///< VMs with a disk that may be lost at once.
   std::uint64_t random_seed = 1;
-  /// Addresses in this process's settings, as they are now.
+  /// The current seed addresses in this process's settings.
   std::function<std::vector<std::string>()> seeds;
-  /// For those who ask while this member knows no leader.
+  /// Returned to callers while this member knows no leader.
   std::function<LeaderHint()> hint = [] { return LeaderHint{}; };
-  /// This member knows the leader; told twice a second.
+  /// Called twice a second while this member knows the leader.
   std::function<void(const AnnounceMembers&)> leader_known =
       [](const AnnounceMembers&) {};
 };
 
-/// Reads the platform's list of replicas; `done` gets nothing when it could not
-/// be read.
+/// Reads the platform's list of replicas. `done` receives nullopt if it could
+/// not be read.
 using ListEngines = std::function<void(
     std::function<void(std::optional<std::vector<EngineInstance>>)> done)>;
 
-/// One member of the coordination group: keeps the configuration, knows who is
-/// there, tells every process what changed. Thread safety: none, the loop's
-/// thread.
+/// One member of the coordination group: stores the configuration, tracks the
+/// processes and sends every process what changed. Thread safety: none, the
+/// loop's thread.
 class Coordinator {
  public:
-  /// Recovers from `files`, which holds an identity. Throws
+  /// Recovers from `files`, which must hold an identity. Throws
   /// ResultError(kStorageDamaged).
   Coordinator(asio::io_context& context, storage::FileSystem& files,
               const CoordinatorOptions& options, transport::PeerClient& peers,
@@ -74,10 +74,10 @@
   struct Watcher {
     WatchRequest request;
     Time since{};
-    /// It is to be told of the newer configuration with the next answer.
+    /// The next reply offers the newer configuration.
     bool offer = false;
-    std::string source;  ///< Where it is to fetch that from; empty: inline.
-    bool knew_hosts = false;  ///< NodeTable::NamesHosts when it asked.
+    std::string source;  ///< Address to fetch it from; empty: sent inline.
+    bool hosts_were_known = false;  ///< NodeTable::HostsKnown at the request.
   };
   using StreamId = transport::StreamId;
 
@@ -94,14 +94,14 @@
   bool HasNews(Watcher& watcher, Time now);
   bool Differs(const WatchRequest& request) const;
   bool EnginesDiffer(const WatchRequest& request) const;
-  bool MaySendWhole(Time now);
-  /// Whether the watcher can get a newer configuration now; says where from.
+  bool MaySendFullText(Time now);
+  /// Whether the watcher can get a newer configuration now. Sets its source.
   bool OfferConfiguration(Watcher& watcher, Time now);
   void AddConfiguration(const Watcher& watcher, WatchReply& reply) const;
   void AddLists(const WatchRequest& request, WatchReply& reply) const;
   TransferReport TransferReportOf(const WatchRequest& request) const;
   void TakeEngineList(std::span<const EngineInstance> list);
-  /// Whether whoever asks can be sent to another member.
+  /// Whether a caller can be referred to another member.
   bool KnowsOtherLeader() const;
   WatchReply MakeReply(const Watcher& watcher) const;
   void Reply(StreamId stream, ResultCode code, std::string body = {});
@@ -121,12 +121,12 @@
   std::unique_ptr<replication::ReplicatedGroup> group;
   std::unique_ptr<Submissions> submissions;
   std::map<StreamId, Watcher> watchers;
-  ConfigurationShelf shelf;
-  QuarantineKeeper quarantine;
+  ConfigurationHistory config_history;
+  QuarantineTracker quarantine;
   TransferPlan plan;
-  /// Some process waits until another can give it the text.
+  /// Some process waits for a source of the text.
   bool waiting_for_source = false;
-  Time next_whole{};
+  Time next_full_text{};
   ChangeList<EngineInstance, &EngineInstance::address> engines;
   Time engines_seen{};
   Time next_poll{};
--- a/src/coordination/crashreports.h
+++ b/src/coordination/crashreports.h
@@ -12,28 +12,27 @@
 
 namespace papayarack::coordination {
 
-/// What an entry tells the leader of crashed replicas, and the requests that
-/// the leader names in return. Each leader is told once of each report that it
-/// lacks, and of the requests that the one before had named, so that a change
-/// of leader forgets nothing. Bounded in number and time. Does no I/O. Thread
-/// safety: none.
+/// An entry's reports of crashed replicas to the leader, and the quarantined
+/// requests that the leader returns. Each leader gets each report once, and the
+/// requests that earlier leaders quarantined, so that a change of leader loses
+/// nothing. Bounded in number and time. Does no I/O. Thread safety: none.
 class CrashReports {
  public:
-  static constexpr std::size_t kMostReports = 256;
+  static constexpr std::size_t kMaxReports = 256;
 
   void Crashed(const quarantine::Fingerprint& request, std::string replica,
                Time now);
-  /// A replica ran it to the end.
+  /// A replica completed the request.
   void Survived(const quarantine::Fingerprint& request, Time now);
-  /// Adds what the leader of `request.term` lacks.
+  /// Adds what the leader of `request.term` has not been sent yet.
   void AddTo(WatchRequest& request, Time now);
-  /// The leader answered the request filled last.
+  /// Handles the leader's reply to the last request passed to AddTo.
   void Answered(const WatchReply& reply);
 
   bool Quarantined(const quarantine::Fingerprint& request) const {
     return this->quarantined.count(request) > 0;
   }
-  /// The requests that are not to be run.
+  /// The requests that must not be run.
   const std::set<quarantine::Fingerprint>& all() const {
     return this->quarantined;
   }
@@ -41,19 +40,20 @@
  private:
   struct Report {
     quarantine::Fingerprint request;
-    std::string replica;  ///< Empty: some replica ran it to the end.
+    std::string replica;  ///< Empty: a replica completed the request.
     Time when{};
     std::uint64_t number = 0;
-    std::uint64_t told_term = 0;
+    std::uint64_t reported_term = 0;
   };
   void Add(Report report);
 
   std::deque<Report> reports;
   std::uint64_t last_number = 0;
-  std::uint64_t asked_number = 0;  ///< The newest in the last request.
-  std::uint64_t asked_term = 0;
+  std::uint64_t requested_number = 0;  ///< Newest report in the last request.
+  std::uint64_t requested_term = 0;
   std::set<quarantine::Fingerprint> quarantined;
-  std::uint64_t list_term = 0;  ///< Of the leader that knows `quarantined`.
+  /// Term of the leader that knows `quarantined`.
+  std::uint64_t list_term = 0;
   std::uint64_t list_revision = 0;
 };
 
--- a/src/coordination/fleetwatch.h
+++ b/src/coordination/fleetwatch.h
@@ -17,7 +17,7 @@
 
 namespace papayarack::coordination {
 
-/// What a process knows of the fleet, as of its last reply from the leader.
+/// What a process knows of the fleet, as of the last reply from a leader.
 struct FleetKnowledge {
   std::uint64_t config_version = 0;
   std::string config;
@@ -25,14 +25,15 @@
   std::vector<EngineInstance> engines;
   consensus::MemberList job_founders;
   std::vector<std::string> leaving;
-  /// Whether a leader that knew of enough of them has named the processes.
-  bool names_hosts = false;
+  /// Whether a leader has sent `nodes` after enough processes had reported to
+  /// assign engines.
+  bool hosts_known = false;
   std::size_t entries = 0;  ///< Processes behind the balancer.
   Time heard{};             ///< Last reply of a leader.
-  Time engines_seen{};      ///< When the platform said what `engines` holds.
+  Time engines_seen{};      ///< When `engines` was read from the platform.
 };
 
-/// What changed with a reply.
+/// The parts that a reply changed.
 struct FleetChange {
   bool config = false;
   bool nodes = false;
@@ -41,10 +42,9 @@
   bool Any() const { return this->config || this->nodes || this->engines; }
 };
 
-/// Reports this process to the coordination group's leader and learns what
-/// changes: one call that the leader keeps open. Starts from seeds and never
-/// depends on them once it has learned of others. Thread safety: none, the
-/// loop's thread.
+/// Reports this process to the coordination group's leader and receives changes
+/// by a long poll. Starts from the seeds, and does not depend on them once it
+/// has learned of other processes. Thread safety: none, the loop's thread.
 class FleetWatch {
  public:
   using Changed = std::function<void(const FleetChange&)>;
@@ -56,45 +56,45 @@
   FleetWatch& operator=(const FleetWatch&) = delete;
 
   void Start();
-  /// Lets other processes ask this one who the members are, and lets members
-  /// tell it. Symptom guarded against: after all processes were killed at once
-  /// nobody finds the leader, because the settings now name seeds that are not
-  /// members and know as little. So members tell the seeds, and any process
-  /// tells whoever asks. `serve_watch`: this process has no member of its own,
-  /// so it also gives others the text that it holds (a member gives its own).
-  /// Precondition: `server` and `dispatch` outlive the watch.
+  /// Serves other processes' queries for the members, and receives members'
+  /// announcements. Otherwise, after a restart of all processes, nobody finds
+  /// the leader if the settings name only seeds that are not members. If
+  /// `serve_watch` is set, this process has no member of its own, so it also
+  /// serves chunks of its text (a member serves its own). Precondition:
+  /// `server` and `dispatch` outlive the watch.
   void ServeHints(transport::PeerServer*& server,
                   transport::PeerDispatch& dispatch, bool serve_watch);
-  /// A member says who leads; asked at once while none was known.
+  /// Handles a member's announcement. Sends a watch to the leader at once if
+  /// none was known.
   void OnAnnounced(const AnnounceMembers& announced);
-  /// Changes what is reported, at once.
+  /// Changes the report and sends it at once.
   void SetJobMembers(std::vector<std::string> members, std::uint64_t term);
-  /// A replica crashed while it ran `request`; told to the leader at once.
+  /// Reports at once that a replica crashed while it ran `request`.
   void ReportCrash(const quarantine::Fingerprint& request, std::string replica);
-  /// A replica ran `request`, which is suspected, to the end; the same.
+  /// Reports at once that a replica completed `request`, which is suspected.
   void ReportSurvival(const quarantine::Fingerprint& request);
-  /// What the leader says of requests that are not to be run.
+  /// The requests that the leader has quarantined.
   const CrashReports& crashes() const { return this->crash_reports; }
-  /// Tells that this process leaves and owns no engines, at once.
+  /// Reports at once that this process is leaving and owns no engines.
   void SetAway();
   const FleetKnowledge& knowledge() const { return this->known; }
-  /// Since a leader last confirmed what is known; -1 before one did.
+  /// Milliseconds since the last reply of a leader; -1 before the first.
   std::int64_t ListAgeMs() const;
-  /// Where the leader is, for all of this process that ask it.
+  /// The search for the leader, shared by all callers in this process.
   LeaderSearch& search() { return this->leader_search; }
   const LeaderSearch& search() const { return this->leader_search; }
-  /// Takes an engine list that this process read by itself while no leader
+  /// Sets an engine list that this process read itself while no leader
   /// answered.
   void TakeEngines(std::vector<EngineInstance> engines);
 
  private:
-  void Ask();
-  void Again(std::chrono::milliseconds wait);
-  void AskAnew();
+  void SendWatch();
+  void RetryAfter(std::chrono::milliseconds wait);
+  void ResendWatch();
   void OnReply(const std::string& message);
   bool TakeConfiguration(const WatchReply& reply);
-  /// `manifest` is that of `text`.
-  void Obey(const TextManifest& manifest, std::string text);
+  /// Precondition: `manifest` is that of `text`.
+  void ApplyConfiguration(const TextManifest& manifest, std::string text);
   void OnFetched(std::optional<std::string> text);
   void OnChunksUnusable(std::uint64_t version);
   void TakeNodes(const WatchReply& reply);
@@ -111,11 +111,11 @@
   std::uint64_t term = 0;
   std::uint64_t nodes_revision = 0;
   std::uint64_t engines_revision = 0;
-  std::uint64_t engines_asked = 0;  ///< `engines_revision` of the last ask.
+  std::uint64_t requested_engines_revision = 0;  ///< Sent in the last request.
   std::string target;
   std::size_t failures = 0;
   std::size_t fetch_failures = 0;
-  /// The text held is not the one that the leader has under its version.
+  /// The text differs from the leader's text of the same version.
   bool text_unusable = false;
   std::uint64_t round = 0;
   transport::CallId call = 0;
--- a/src/coordination/founders.h
+++ b/src/coordination/founders.h
@@ -10,20 +10,20 @@
 
 namespace papayarack::coordination {
 
-/// Chooses who founds the job group among the stores that have reported, spread
-/// over zones. Nothing while fewer than `wanted` have and others may still
-/// come; once `waited_enough`, those that are there found it, as a fleet with
-/// few stores would otherwise never take a batch. It grows to `wanted` later.
-/// Thread safety: any thread.
+/// Chooses the founders of the job group among the stores that have reported,
+/// spread over zones. Empty while fewer than `wanted` stores have reported,
+/// unless `waited_enough` is set: a fleet with few stores would otherwise never
+/// accept a batch. The group grows to `wanted` later. Thread safety: any
+/// thread.
 std::optional<consensus::MemberList> ChooseFounders(
     std::span<const NodeReport> stores, std::size_t wanted, bool waited_enough);
 
-/// Entries that may be members of the coordination group: those with a disk;
-/// those that keep the group in memory only where no entry has one. Symptom
-/// guarded against: entries without a disk get a vote for some seconds after
-/// all processes were killed, as they report to the new leader first; a second
-/// kill then leaves no quorum that remembers the configuration. A leader with a
-/// disk is itself an entry with one. Thread safety: any thread.
+/// Entries that may be members of the coordination group: those with a disk, or
+/// those that keep the group in memory if no entry has a disk. Otherwise, after
+/// a restart of all processes, entries without a disk that report to the new
+/// leader first get a vote, and a second restart leaves no quorum that has the
+/// configuration. A leader with a disk counts as an entry with one. Thread
+/// safety: any thread.
 std::vector<replication::Candidate> CoordinationCandidates(
     std::span<const NodeReport> entries, bool leader_has_disk);
 
--- a/src/coordination/groupclient.h
+++ b/src/coordination/groupclient.h
@@ -19,13 +19,13 @@
 
 namespace papayarack::coordination {
 
-/// Calls the leader of a replicated group: follows hints, moves on to another
-/// member after a failure or silence, until the call's time is over. For calls
-/// that may be made twice. Thread safety: none, the loop's thread.
+/// Calls the leader of a replicated group. Follows hints and moves on to
+/// another member after a failure or timeout, until the call's time is over.
+/// Only for idempotent calls. Thread safety: none, the loop's thread.
 class GroupClient {
  public:
-  /// Called once: the leader's answer, or a refusal with kNoQuorum when nobody
-  /// answered as leader in time.
+  /// Called once with the leader's reply, or with kNoQuorum if no leader
+  /// answered in time.
   using Done = std::function<void(const Result& result, std::string body)>;
 
   /// Precondition: `search` outlives the client.
@@ -40,7 +40,7 @@
   std::uint64_t Call(std::string path, std::string body,
                      std::chrono::milliseconds time,
                      std::chrono::milliseconds try_time, Done done);
-  /// Gives up; `done` is not called.
+  /// Cancels the call; `done` is not called.
   void Cancel(std::uint64_t call);
 
  private:
--- a/src/coordination/groupenvironment.h
+++ b/src/coordination/groupenvironment.h
@@ -16,9 +16,9 @@
 inline constexpr consensus::GroupId kCoordinationGroup = 0;
 inline constexpr consensus::GroupId kJobGroup = 1;
 
-/// What a group needs of its process, over the peer protocol: messages to
-/// `/group/N/message`, state from `/group/N/state`. Registers both paths.
-/// Precondition: `group` is set before a message can arrive.
+/// Connects a group to the peer protocol: messages to `/group/N/message`, state
+/// from `/group/N/state`. Registers both paths. Precondition: `group` is set
+/// before a message can arrive.
 replication::GroupEnvironment MakeGroupEnvironment(
     asio::io_context& context, consensus::GroupId group_id,
     const std::string& own_address, transport::PeerClient& peers,
--- a/src/coordination/internal/acknowledgementqueue.cpp
+++ b/src/coordination/internal/acknowledgementqueue.cpp
@@ -1,4 +1,4 @@
-#include "coordination/acknowledgementhold.h"
+#include "coordination/acknowledgementqueue.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,67 +7,68 @@
 
 namespace papayarack::coordination {
 
-void AcknowledgementHold::Clear(Time now) {
+void AcknowledgementQueue::Clear(Time now) {
   this->entries.clear();
   this->newest = 0;
   this->leads_since = now;
 }
 
-void AcknowledgementHold::Heard(const std::string& entry, std::uint64_t version,
-                                Time now) {
+void AcknowledgementQueue::OnReport(const std::string& entry,
+                                    std::uint64_t version, Time now) {
   this->entries[entry] = {version, now};
 }
 
-void AcknowledgementHold::Hold(transport::StreamId stream,
+void AcknowledgementQueue::Add(transport::StreamId stream,
                                std::uint64_t version, std::size_t bytes,
                                Time now) {
   if (version > this->newest) {
     this->newest = version;
-    this->newest_until = now + kLongest + TimeToCarry(bytes);
+    this->newest_until = now + kMaxDelay + TimeToCarry(bytes);
   }
   this->waiting.push_back({stream, version, now, this->newest_until});
 }
 
-AcknowledgementHold::Released AcknowledgementHold::MakeReleased(
-    const Held& held, Time now) const {
-  Released released{held.stream, held.version, now - held.since, 0, {}};
+AcknowledgementQueue::Acknowledgement AcknowledgementQueue::MakeAcknowledgement(
+    const Pending& pending, Time now) const {
+  Acknowledgement result{
+      pending.stream, pending.version, now - pending.since, 0, {}};
   for (const auto& [name, report] : this->entries) {
-    if (report.version < held.version && released.lagging++ == 0) {
-      released.first_lagging = name;
+    if (report.version < pending.version && result.lagging++ == 0) {
+      result.first_lagging = name;
     }
   }
-  return released;
+  return result;
 }
 
-std::vector<AcknowledgementHold::Released> AcknowledgementHold::Release(
-    Time now) {
-  std::vector<Released> released;
+std::vector<AcknowledgementQueue::Acknowledgement>
+AcknowledgementQueue::TakeDue(Time now) {
+  std::vector<Acknowledgement> result;
   if (this->waiting.empty()) {
-    return released;
+    return result;
   }
   std::erase_if(this->entries, [now](const auto& entry) {
-    return now - entry.second.heard > kInTouch;
+    return now - entry.second.heard > kReportTimeout;
   });
-  // Entries that have not reported to this leader yet are not known to it.
-  const bool all_reported = now - this->leads_since >= kInTouch;
-  std::erase_if(this->waiting, [&](const Held& held) {
-    const Released one = this->MakeReleased(held, now);
-    const bool due = now >= held.until || (all_reported && one.lagging == 0);
+  // Entries that have not reported to this leader yet are unknown to it.
+  const bool all_reported = now - this->leads_since >= kReportTimeout;
+  std::erase_if(this->waiting, [&](const Pending& pending) {
+    const Acknowledgement one = this->MakeAcknowledgement(pending, now);
+    const bool due = now >= pending.until || (all_reported && one.lagging == 0);
     if (due) {
-      released.push_back(one);
+      result.push_back(one);
     }
     return due;
   });
-  return released;
+  return result;
 }
 
-std::vector<AcknowledgementHold::Released> AcknowledgementHold::ReleaseAll(
-    Time now) {
-  std::vector<Released> released;
-  for (const Held& held : std::exchange(this->waiting, {})) {
-    released.push_back(this->MakeReleased(held, now));
+std::vector<AcknowledgementQueue::Acknowledgement>
+AcknowledgementQueue::TakeAll(Time now) {
+  std::vector<Acknowledgement> result;
+  for (const Pending& pending : std::exchange(this->waiting, {})) {
+    result.push_back(this->MakeAcknowledgement(pending, now));
   }
-  return released;
+  return result;
 }
 
 }  // namespace papayarack::coordination
--- a/src/coordination/internal/configurationchange.cpp
+++ b/src/coordination/internal/configurationchange.cpp
@@ -24,7 +24,7 @@
     change.chunks.emplace_back(part);
     bytes += part.size();
   }
-  // Two chunks of one hash would make up another text: then it goes whole.
+  // On a hash collision the chunks yield another text; send the full text then.
   const bool small = bytes <= after.text.size() / 2;
   if (!small || ChangedText(before, change) != after.text) {
     return std::nullopt;
--- a/src/coordination/internal/contentchunks.cpp
+++ b/src/coordination/internal/contentchunks.cpp
@@ -11,14 +11,15 @@
 
 constexpr std::size_t kSmallestChunk = 1U << 10U;
 constexpr std::size_t kLargestChunk = 16U << 10U;
-/// A boundary follows a byte where these bits of the rolling hash are zero:
-/// once in 4 KiB, behind the smallest chunk. The upper bits, as they depend on
-/// the last 64 bytes.
+/// Behind the smallest chunk, a boundary follows a byte where these bits of the
+/// rolling hash are zero: on average every 4 KiB. The upper bits are used
+/// because they depend on the last 64 bytes.
 constexpr unsigned kBoundaryBits = 12;
 constexpr std::uint64_t kBoundaryMask =
     ((std::uint64_t{1} << kBoundaryBits) - 1) << (64U - kBoundaryBits);
 
-/// Random numbers, one for each byte value, the same in all processes.
+/// Gear hash table: a pseudo-random number per byte value, the same in all
+/// processes.
 std::array<std::uint64_t, 256> MakeGears() {
   std::array<std::uint64_t, 256> gears{};
   std::uint64_t seed = 0;
@@ -65,15 +66,15 @@
 ChunkIndex::ChunkIndex(const TextManifest& manifest) {
   std::size_t offset = 0;
   for (const ChunkName& chunk : manifest.chunks) {
-    this->places[chunk.hash] = {offset, chunk.size};
+    this->positions[chunk.hash] = {offset, chunk.size};
     offset += chunk.size;
   }
 }
 
 std::optional<std::string_view> ChunkIndex::Find(std::string_view text,
                                                  std::uint64_t hash) const {
-  const auto found = this->places.find(hash);
-  if (found == this->places.end()) {
+  const auto found = this->positions.find(hash);
+  if (found == this->positions.end()) {
     return std::nullopt;
   }
   return text.substr(found->second.offset, found->second.size);
--- a/src/coordination/internal/coordinationstate.cpp
+++ b/src/coordination/internal/coordinationstate.cpp
@@ -11,7 +11,7 @@
     const auto decoded = DecodeVariant<CoordinationCommand>(command);
     std::visit([this](const auto& body) { this->Do(body); }, decoded);
   } catch (const ResultError& error) {
-    // Every member sees the same bytes and skips them alike.
+    // Every member sees the same bytes and skips them.
     Log(LogLevel::kError, "command_unreadable", {{"text", error.what()}});
   }
 }
@@ -29,7 +29,7 @@
   }
   std::optional<std::string> text = ChangedText(this->data.text, command);
   if (!text.has_value()) {
-    // The leader has put it together from the same text before it proposed it.
+    // The leader applied it to the same text before proposing it.
     Log(LogLevel::kError, "configuration_change_unusable",
         {{"config_version", command.manifest.version},
          {"held_version", this->data.version}});
--- a/src/coordination/internal/coordinator.cpp
+++ b/src/coordination/internal/coordinator.cpp
@@ -18,32 +18,32 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTick{20};
-/// Membership and silent processes are looked at this often.
-constexpr std::chrono::milliseconds kWorkEvery{100};
-/// A watch without news is answered after this long, so that the asker knows
-/// that the leader lives and the leader that the asker does.
-constexpr std::chrono::milliseconds kWatchHold{1000};
-/// The platform bounds and prices calls to its list, and its list lags by 0.8 s
-/// itself; at this pace a draining replica is known after 1.3 s of the 3 s.
-constexpr std::chrono::milliseconds kPollEvery{500};
-/// The job group may take every store it is offered; the coordination group
-/// takes up to this many VMs, so that more than half of them is a quorum.
-constexpr std::size_t kMostCoordinators = 9;
-/// How long a new leader waits for as many stores as the job group wants: all
-/// processes start within 0.3 s of each other and report within 2 s.
-constexpr std::chrono::milliseconds kFoundersPatience{4000};
-/// A member that knows no leader answers after this long: an election after a
-/// start takes 150 to 300 ms, and whoever asks again meanwhile learns nothing.
-/// Not longer, as another member may know.
-constexpr std::chrono::milliseconds kNoLeaderHold{150};
-/// Whole texts leave at this many bytes a millisecond: a third of a link of
-/// 100 Mbit/s.
-constexpr std::size_t kWholePace = 4000;
-/// Members tell seeds that are not members who the members are this often, and
-/// at once when another leads. Symptom guarded against: after all processes
-/// were killed the configuration is in force long after a leader was elected,
-/// as processes that know no member ask each other in turn.
-constexpr std::chrono::milliseconds kAnnounceEvery{500};
+/// Interval of checks of membership and silent processes.
+constexpr std::chrono::milliseconds kWorkInterval{100};
+/// A watch is answered after this long without changes, so that both sides know
+/// that the other is alive.
+constexpr std::chrono::milliseconds kWatchTimeout{1000};
+/// The platform limits and charges for reads of its list, which itself lags by
+/// 0.8 s. At this interval a draining replica is known after 1.3 s of the 3 s
+/// that it drains.
+constexpr std::chrono::milliseconds kPollInterval{500};
+/// Most VMs in the coordination group, of which more than half are a quorum.
+/// The job group may use every store.
+constexpr std::size_t kMaxCoordinators = 9;
+/// How long a new leader waits for as many stores as the job group should have:
+/// all processes start within 0.3 s of each other and report within 2 s.
+constexpr std::chrono::milliseconds kFoundersTimeout{4000};
+/// A member that knows no leader replies after this long. An election after a
+/// start takes 150 to 300 ms, and earlier retries learn nothing. A longer delay
+/// would keep the caller from another member that may know the leader.
+constexpr std::chrono::milliseconds kNoLeaderDelay{150};
+/// Rate of sending full texts: a third of a link of 100 Mbit/s.
+constexpr std::size_t kFullTextBytesPerMs = 4000;
+/// Interval at which members announce the group's members to seeds that are not
+/// members; a new leader is announced at once. Otherwise, after a restart of
+/// all processes, those that know no member query each other in turn, and the
+/// configuration is in force long after the election.
+constexpr std::chrono::milliseconds kAnnounceInterval{500};
 
 }  // namespace
 
@@ -116,8 +116,8 @@
               });
   dispatch.OnCancel([this](StreamId stream) { this->watchers.erase(stream); });
   ServeChunks(this->server, dispatch, [this] {
-    this->shelf.Set(this->state.version(), this->state.text());
-    return HeldText{this->state.text(), &this->shelf.index()};
+    this->config_history.Set(this->state.version(), this->state.text());
+    return LocalText{this->state.text(), &this->config_history.index()};
   });
 }
 
@@ -141,7 +141,7 @@
     return;
   }
   this->announced_leader = leader;
-  this->next_announcement = now + kAnnounceEvery;
+  this->next_announcement = now + kAnnounceInterval;
   AnnounceMembers announcement;
   announcement.leader = leader;
   for (const consensus::Member& member : this->group->members().members) {
@@ -168,24 +168,24 @@
     this->OnTerm(now);
   }
   if (now >= this->next_work) {
-    this->next_work = now + kWorkEvery;
+    this->next_work = now + kWorkInterval;
     this->nodes.DropSilent(now);
     for (const std::string& name : this->nodes.dropped()) {
-      this->plan.Gone(name);
+      this->plan.Remove(name);
     }
     this->plan.ForgetSilent(now);
-    this->quarantine.Judge(now);
+    this->quarantine.Evaluate(now);
     this->group->Heal(
         CoordinationCandidates(this->nodes.WithRole(NodeRole::kEntry),
                                this->options.has_disk),
-        {}, {2 * this->options.losses_borne + 1, kMostCoordinators});
+        {}, {2 * this->options.losses_borne + 1, kMaxCoordinators});
     this->FoundJobGroupWhenReady(now);
   }
   this->PollEngines(now);
   this->AnswerWatchers(now);
 }
 
-/// A new leader knows nobody: everyone reports anew.
+/// A new leader starts with no reports; every process reports again.
 void Coordinator::OnTerm(Time now) {
   this->led_term = this->group->term();
   this->led_since = now;
@@ -197,7 +197,7 @@
 }
 
 /// Exactly one job group is ever formed: its founders are one entry of this
-/// group's log, and a store that is not named there only ever joins.
+/// group's log, and all other stores only join.
 void Coordinator::FoundJobGroupWhenReady(Time now) {
   if (this->founding || !this->state.job_founders().members.empty()) {
     return;
@@ -205,7 +205,7 @@
   const std::vector<NodeReport> stores = this->nodes.WithRole(NodeRole::kStore);
   const std::optional<consensus::MemberList> founders =
       ChooseFounders(stores, 2 * this->options.losses_borne + 1,
-                     now - this->led_since >= kFoundersPatience);
+                     now - this->led_since >= kFoundersTimeout);
   if (!founders.has_value()) {
     return;
   }
@@ -222,7 +222,7 @@
     return;
   }
   this->poll_under_way = true;
-  this->next_poll = now + kPollEvery;
+  this->next_poll = now + kPollInterval;
   this->list_engines(
       [this, alive = this->alive](
           const std::optional<std::vector<EngineInstance>>& list) {
@@ -261,15 +261,16 @@
 
 bool Coordinator::KnowsOtherLeader() const {
   const std::string leader = this->group->LeaderAddress();
-  // Elected, but the entries of earlier terms are not committed yet.
-  const bool soon_itself = leader == this->options.address;
-  return !soon_itself &&
+  // This member is elected, but entries of earlier terms are not committed yet.
+  const bool becoming_leader = leader == this->options.address;
+  return !becoming_leader &&
          !(leader.empty() && this->options.hint().leader.empty());
 }
 
 namespace {
 
-/// Which replicas a process works with: a gate that guards one, with that one.
+/// Selects the replicas that a process needs: for a gate with an engine, only
+/// that one.
 auto EnginesFor(const NodeReport& asker) {
   return [&asker](const EngineInstance& engine) {
     return asker.engine_address.empty() ||
@@ -314,37 +315,39 @@
   return report;
 }
 
-/// Whole texts, which only processes of the version before take, leave one
-/// after the other, so that others find room on the link.
-bool Coordinator::MaySendWhole(Time now) {
-  if (now < this->next_whole) {
+/// Limits the rate of full texts, which only processes of the previous release
+/// need, to leave room on the link.
+bool Coordinator::MaySendFullText(Time now) {
+  if (now < this->next_full_text) {
     return false;
   }
-  this->next_whole =
-      now + std::chrono::milliseconds(this->state.text().size() / kWholePace);
+  this->next_full_text =
+      now + std::chrono::milliseconds(this->state.text().size() /
+                                      kFullTextBytesPerMs);
   return true;
 }
 
 bool Coordinator::OfferConfiguration(Watcher& watcher, Time now) {
   const WatchRequest& request = watcher.request;
-  // A fetch of an older version is no reason to wait: a small change back could
-  // be in force at once.
+  // A fetch of an older version does not delay this one: a small change that
+  // reverts it can be applied at once.
   const bool fetches_it = !request.fetching_from.empty() &&
                           request.fetching_version >= this->state.version();
   if (request.config_version >= this->state.version() || fetches_it) {
     return false;
   }
   if (!request.takes_changes) {
-    watcher.offer = this->MaySendWhole(now);
+    watcher.offer = this->MaySendFullText(now);
     return watcher.offer;
   }
-  if (this->shelf.GoesInline(request.config_version)) {
+  if (this->config_history.FitsInline(request.config_version)) {
     watcher.offer = true;
     return true;
   }
-  // Symptom guarded against: members obey what their logs hold 0.4 s late, and
-  // 2.5 s late where the two that fetch from the leader stand still, and nobody
-  // can fetch from them. One that waits for a source stands before them.
+  // Members read their own logs and need no source, so they do not wait for
+  // one. Otherwise they apply the configuration 0.4 s late, or 2.5 s late if
+  // the two processes that fetch from the leader are stalled, and nobody can
+  // fetch from them meanwhile.
   if (this->waiting_for_source && !this->plan.ReadsOwnCopy(request.self.name)) {
     return false;
   }
@@ -375,11 +378,11 @@
     reply.config = this->state.text();
     return;
   }
-  reply.manifest = this->shelf.manifest();
+  reply.manifest = this->config_history.manifest();
   reply.source = watcher.source;
   if (watcher.source.empty()) {
     reply.chunks =
-        this->shelf
+        this->config_history
             .InlineChunks(watcher.request.config_version, this->state.text())
             .value_or(std::vector<std::string>());
   }
@@ -436,7 +439,7 @@
   this->AddConfiguration(watcher, reply);
   this->AddLists(watcher.request, reply);
   this->quarantine.AddTo(watcher.request, reply);
-  reply.names_hosts = this->nodes.NamesHosts(MonotonicNow());
+  reply.hosts_known = this->nodes.HostsKnown(MonotonicNow());
   reply.entries =
       static_cast<std::uint32_t>(this->nodes.Count(NodeRole::kEntry));
   reply.job_founders = this->state.job_founders();
@@ -453,12 +456,12 @@
       this->OnTerm(now);
     }
     this->nodes.Take(request.self, now);
-    this->plan.Heard(this->TransferReportOf(request), now);
-    this->submissions->Heard(request, now);
-    this->quarantine.Heard(request, now);
+    this->plan.OnReport(this->TransferReportOf(request), now);
+    this->submissions->OnReport(request, now);
+    this->quarantine.OnReport(request, now);
   }
   this->watchers[stream] = {
-      request, now, false, {}, this->nodes.NamesHosts(now)};
+      request, now, false, {}, this->nodes.HostsKnown(now)};
   if (!this->group->Leads() || this->waiting_for_source ||
       request.config_version < this->state.version() ||
       request.term != this->group->term()) {
@@ -468,29 +471,31 @@
 
 bool Coordinator::HasNews(Watcher& watcher, Time now) {
   if (!this->group->Leads()) {
-    return now - watcher.since >= kNoLeaderHold || this->KnowsOtherLeader();
+    return now - watcher.since >= kNoLeaderDelay || this->KnowsOtherLeader();
   }
   const bool offered = this->OfferConfiguration(watcher, now);
-  const bool differs = this->Differs(watcher.request) ||
-                       this->nodes.NamesHosts(now) != watcher.knew_hosts ||
-                       this->quarantine.IsNews(watcher.request);
+  const bool differs =
+      this->Differs(watcher.request) ||
+      this->nodes.HostsKnown(now) != watcher.hosts_were_known ||
+      this->quarantine.NeedsList(watcher.request);
   if (!differs && watcher.request.takes_changes) {
-    // Nothing that it works with changed up to here: not looked at again. 300
-    // watchers and 300 replicas took 1.7 ms for each pass and list.
+    // Nothing that it needs has changed up to these revisions, so later checks
+    // skip them. With 300 watchers and 300 replicas each pass over a list took
+    // 1.7 ms.
     watcher.request.nodes_revision = this->nodes.revision();
     if (this->engines_seen != Time{}) {
       watcher.request.engines_revision = this->engines.revision();
     }
   }
-  return offered || differs || now - watcher.since >= kWatchHold;
+  return offered || differs || now - watcher.since >= kWatchTimeout;
 }
 
-/// Called at each tick: changes that come together leave in one answer. Entries
-/// first: callers notice theirs.
+/// Called at each tick, so that changes within a tick share one reply. Entries
+/// come first, as a delay there is visible to callers.
 void Coordinator::AnswerWatchers(Time now) {
   constexpr std::array<NodeRole, 1> kFirst = {NodeRole::kEntry};
   constexpr std::array<NodeRole, 2> kThen = {NodeRole::kGate, NodeRole::kStore};
-  this->shelf.Set(this->state.version(), this->state.text());
+  this->config_history.Set(this->state.version(), this->state.text());
   this->plan.SetVersion(this->state.version());
   this->waiting_for_source = false;
   this->AnswerWatchersOf(kFirst, now);
@@ -540,7 +545,7 @@
     if (confirmed) {
       SubmitConfiguration found{this->state.version(), {}};
       const bool large =
-          this->state.text().size() > ConfigurationShelf::kInlineBytes;
+          this->state.text().size() > ConfigurationHistory::kMaxInlineBytes;
       if (found.version != held && held_given && large) {
         this->Reply(stream, ResultCode::kNotReady);
         return;
--- a/src/coordination/internal/crashreports.cpp
+++ b/src/coordination/internal/crashreports.cpp
@@ -10,7 +10,7 @@
 void CrashReports::Add(Report report) {
   report.number = ++this->last_number;
   this->reports.push_back(std::move(report));
-  if (this->reports.size() > kMostReports) {
+  if (this->reports.size() > kMaxReports) {
     this->reports.pop_front();
   }
 }
@@ -29,10 +29,10 @@
   std::erase_if(this->reports, [now](const Report& report) {
     return now - report.when > CrashLedger::kRemember;
   });
-  this->asked_number = this->last_number;
-  this->asked_term = request.term;
+  this->requested_number = this->last_number;
+  this->requested_term = request.term;
   for (const Report& report : this->reports) {
-    if (report.told_term == request.term) {
+    if (report.reported_term == request.term) {
       continue;
     }
     if (report.replica.empty()) {
@@ -53,15 +53,15 @@
 
 void CrashReports::Answered(const WatchReply& reply) {
   for (Report& report : this->reports) {
-    const bool was_asked = report.number <= this->asked_number;
-    if (was_asked && report.told_term != this->asked_term) {
-      report.told_term = reply.term;
+    const bool was_asked = report.number <= this->requested_number;
+    if (was_asked && report.reported_term != this->requested_term) {
+      report.reported_term = reply.term;
     }
   }
-  const bool same_leader = this->asked_term == reply.term;
+  const bool same_leader = this->requested_term == reply.term;
   if (reply.has_quarantined) {
-    // A leader that has not been told of what the one before had named does
-    // not take anything back.
+    // A new leader does not know yet which requests earlier leaders
+    // quarantined, so its list only adds.
     if (same_leader) {
       this->quarantined.clear();
     }
--- a/src/coordination/internal/fleetwatch.cpp
+++ b/src/coordination/internal/fleetwatch.cpp
@@ -10,14 +10,14 @@
 namespace papayarack::coordination {
 namespace {
 
-/// The leader holds a watch for 1 s; without an answer for this long the
-/// process asks another member. An election takes 0.6 to 1.2 s.
+/// Time without a reply after which another member is tried. The leader answers
+/// a watch after 1 s at most; an election takes 0.6 to 1.2 s.
 constexpr std::chrono::milliseconds kAnswerTime{1600};
 constexpr std::chrono::milliseconds kPause{40};
-constexpr int kMostPauses = 5;
+constexpr int kMaxPauses = 5;
 
-std::chrono::milliseconds PauseAfter(std::size_t failures) {
-  return kPause * std::min(static_cast<int>(failures), kMostPauses);
+std::chrono::milliseconds RetryDelay(std::size_t failures) {
+  return kPause * std::min(static_cast<int>(failures), kMaxPauses);
 }
 
 }  // namespace
@@ -35,7 +35,7 @@
 
 FleetWatch::~FleetWatch() { *this->alive = false; }
 
-void FleetWatch::Start() { this->Ask(); }
+void FleetWatch::Start() { this->SendWatch(); }
 
 void FleetWatch::ServeHints(transport::PeerServer*& server,
                             transport::PeerDispatch& dispatch,
@@ -50,7 +50,7 @@
     return;
   }
   ServeChunks(server, dispatch, [this] {
-    return HeldText{this->known.config, &this->index};
+    return LocalText{this->known.config, &this->index};
   });
   dispatch.On("/coordination/watch",
               [this, &server](transport::StreamId stream, const std::string&) {
@@ -72,7 +72,7 @@
   if (searching && !announced.leader.empty() &&
       this->leader_search.leader() != announced.leader) {
     this->leader_search.Found(announced.leader);
-    this->AskAnew();
+    this->ResendWatch();
   }
 }
 
@@ -83,19 +83,19 @@
   }
   this->self.job_members = std::move(members);
   this->self.job_term = job_term;
-  this->AskAnew();
+  this->ResendWatch();
 }
 
-void FleetWatch::AskAnew() {
+void FleetWatch::ResendWatch() {
   this->peers.Cancel(this->call);
-  this->Ask();
+  this->SendWatch();
 }
 
-void FleetWatch::Ask() {
+void FleetWatch::SendWatch() {
   const std::uint64_t number = ++this->round;
   this->target = this->leader_search.Next();
   if (this->target.empty()) {
-    this->Again(kPause);
+    this->RetryAfter(kPause);
     return;
   }
   WatchRequest request;
@@ -104,7 +104,7 @@
   request.term = this->term;
   request.nodes_revision = this->nodes_revision;
   request.engines_revision = this->engines_revision;
-  this->engines_asked = this->engines_revision;
+  this->requested_engines_revision = this->engines_revision;
   request.takes_changes = true;
   request.applies_changes = true;
   request.fetching_from = this->fetch.source();
@@ -123,7 +123,7 @@
     if (current()) {
       ++this->failures;
       this->leader_search.Lost(this->target);
-      this->Again(PauseAfter(this->failures));
+      this->RetryAfter(RetryDelay(this->failures));
     }
   };
   this->call = this->peers.Call(ParseEndpoint(this->target, "member"),
@@ -139,18 +139,18 @@
       this->peers.Cancel(this->call);
       ++this->failures;
       this->leader_search.Lost(this->target);
-      this->Ask();
+      this->SendWatch();
     }
   });
 }
 
-void FleetWatch::Again(std::chrono::milliseconds wait) {
+void FleetWatch::RetryAfter(std::chrono::milliseconds wait) {
   const std::uint64_t number = ++this->round;
   this->timer.expires_after(wait);
   this->timer.async_wait(
       [this, number, alive = this->alive](std::error_code error) {
         if (!error && *alive && this->round == number) {
-          this->Ask();
+          this->SendWatch();
         }
       });
 }
@@ -161,7 +161,7 @@
     reply = DecodeMessage<WatchReply>(message);
   } catch (const ResultError& error) {
     Log(LogLevel::kWarn, "watch_reply_unreadable", {{"text", error.what()}});
-    this->Again(kPause);
+    this->RetryAfter(kPause);
     return;
   }
   if (!reply.members.empty()) {
@@ -171,8 +171,8 @@
     this->leader_search.Refused(this->target, reply.leader);
     const bool hint = !this->leader_search.leader().empty();
     ++this->failures;
-    this->Again(hint && this->failures < 3 ? std::chrono::milliseconds(0)
-                                           : PauseAfter(this->failures));
+    this->RetryAfter(hint && this->failures < 3 ? std::chrono::milliseconds(0)
+                                                : RetryDelay(this->failures));
     return;
   }
   if (this->failures > 0 || this->term != reply.term) {
@@ -191,13 +191,13 @@
   this->known.leaving = reply.leaving;
   this->known.entries = reply.entries;
   FleetChange change;
-  // The first list of hosts is a change, also where it names the same ones.
-  change.nodes = reply.names_hosts && !this->known.names_hosts;
-  this->known.names_hosts |= reply.names_hosts;
+  // The first list is a change even if it names the same processes.
+  change.nodes = reply.hosts_known && !this->known.hosts_known;
+  this->known.hosts_known |= reply.hosts_known;
   change.config = this->TakeConfiguration(reply);
   if (this->term != reply.term) {
-    // Another leader counts its changes from its own start: a revision of the
-    // one before says nothing, whether it is lower, higher or by chance equal.
+    // Revisions are counted by each leader from its own start. One of an
+    // earlier leader cannot be compared, even if it happens to be equal.
     this->engines_revision = 0;
   }
   this->crash_reports.Answered(reply);
@@ -213,18 +213,18 @@
   }
   change.engines = this->TakeEngineChanges(reply);
   this->changed(change);
-  this->Ask();
+  this->SendWatch();
 }
 
-/// True when the text in force changed. Never back: a leader that was elected
-/// on an older log could still answer with less than what this process has
-/// already obeyed.
+/// Returns true if the text in force changed. Never goes back to an older
+/// version, which a leader elected on an older log could send.
 bool FleetWatch::TakeConfiguration(const WatchReply& reply) {
   if (reply.config_version <= this->known.config_version) {
     return false;
   }
   if (!reply.config.empty()) {
-    this->Obey(SplitText(reply.config_version, reply.config), reply.config);
+    this->ApplyConfiguration(SplitText(reply.config_version, reply.config),
+                             reply.config);
     return true;
   }
   if (reply.manifest.version <= this->known.config_version) {
@@ -233,7 +233,7 @@
   std::optional<std::string> text =
       this->fetch.Prepare(reply.manifest, this->known.config, reply.chunks);
   if (text.has_value()) {
-    this->Obey(reply.manifest, std::move(*text));
+    this->ApplyConfiguration(reply.manifest, std::move(*text));
     return true;
   }
   if (reply.source.empty()) {
@@ -246,10 +246,10 @@
   return false;
 }
 
-/// Symptom guarded against: a process asks the leader thousands of times a
-/// second. It holds another text under a version than the leader does (a group
-/// that was founded anew), so the few chunks that it was sent do not complete
-/// it, and each answer brings the same again.
+/// Requests the full text next. This happens if the process has another text
+/// under a version than the leader (a group that was founded again), so that
+/// the few chunks it was sent do not complete the text. Without this it would
+/// repeat the same request thousands of times a second.
 void FleetWatch::OnChunksUnusable(std::uint64_t version) {
   Log(LogLevel::kWarn, "configuration_chunks_unusable",
       {{"address", this->target},
@@ -258,34 +258,35 @@
   this->text_unusable = true;
 }
 
-void FleetWatch::Obey(const TextManifest& manifest, std::string text) {
+void FleetWatch::ApplyConfiguration(const TextManifest& manifest,
+                                    std::string text) {
   this->text_unusable = false;
   this->known.config_version = manifest.version;
   this->known.config = std::move(text);
   this->index = ChunkIndex(manifest);
 }
 
-/// The leader hears of it at once: whoever holds the text can give it to
-/// others, and one whose source failed needs another.
+/// Informs the leader at once: a process with the text can serve others, and
+/// one whose source failed needs another.
 void FleetWatch::OnFetched(std::optional<std::string> text) {
   if (!text.has_value()) {
     this->peers.Cancel(this->call);
-    this->Again(PauseAfter(++this->fetch_failures));
+    this->RetryAfter(RetryDelay(++this->fetch_failures));
     return;
   }
   this->fetch_failures = 0;
   if (this->fetch.version() > this->known.config_version) {
-    this->Obey(this->fetch.manifest(), std::move(*text));
+    this->ApplyConfiguration(this->fetch.manifest(), std::move(*text));
     FleetChange change;
     change.config = true;
     this->changed(change);
   }
-  this->AskAnew();
+  this->ResendWatch();
 }
 
-/// Symptom guarded against: after a change of leader every gate is gone for a
-/// moment, because the new leader has not heard from them yet. Until its table
-/// is settled it only adds and replaces.
+/// Until a new leader's table is settled it only adds and replaces. Otherwise
+/// every gate would be missing briefly after a change of leader, as the new one
+/// has no report from it yet.
 void FleetWatch::TakeNodes(const WatchReply& reply) {
   ListChanges<NodeReport> changes;
   changes.whole = reply.nodes_settled && !reply.nodes_partial;
@@ -297,10 +298,11 @@
                [](const NodeReport& report) { return report.name; });
 }
 
-/// True when the list changed. Changes are of use only to the list that this
-/// process had when it asked: in between it may have read the list by itself.
+/// Returns true if the list changed. Changes only apply to the list that the
+/// request named; this process may have read the platform's list meanwhile.
 bool FleetWatch::TakeEngineChanges(const WatchReply& reply) {
-  const bool other_base = this->engines_revision != this->engines_asked;
+  const bool other_base =
+      this->engines_revision != this->requested_engines_revision;
   const bool whole = reply.has_engines && !reply.engines_partial;
   if (reply.engines_age_ms == kEnginesNeverRead || (other_base && !whole)) {
     return false;
@@ -321,17 +323,17 @@
 void FleetWatch::ReportCrash(const quarantine::Fingerprint& request,
                              std::string replica) {
   this->crash_reports.Crashed(request, std::move(replica), MonotonicNow());
-  this->AskAnew();
+  this->ResendWatch();
 }
 
 void FleetWatch::ReportSurvival(const quarantine::Fingerprint& request) {
   this->crash_reports.Survived(request, MonotonicNow());
-  this->AskAnew();
+  this->ResendWatch();
 }
 
 void FleetWatch::SetAway() {
   this->self.away = true;
-  this->AskAnew();
+  this->ResendWatch();
 }
 
 std::int64_t FleetWatch::ListAgeMs() const {
--- a/src/coordination/internal/groupclient.cpp
+++ b/src/coordination/internal/groupclient.cpp
@@ -10,10 +10,11 @@
 namespace papayarack::coordination {
 namespace {
 
-/// Pause before the next member is tried, grown by each try: an election takes
-/// 0.6 to 1.2 s, and asking it more often than this only costs processor time.
+/// Delay before the next member is tried, multiplied by the number of attempts.
+/// An election takes 0.6 to 1.2 s, and more frequent attempts only cost
+/// processor time.
 constexpr std::chrono::milliseconds kPause{25};
-constexpr int kMostPauses = 6;
+constexpr int kMaxPauses = 6;
 
 }  // namespace
 
@@ -79,9 +80,9 @@
   attempt.call =
       this->peers.Call(ParseEndpoint(attempt.target, "member"), attempt.path,
                        attempt.body, std::move(handlers));
-  // Symptom guarded against: a large body is longer under way than one
-  // attempt may take, is cancelled and sent whole to the next member, and so on
-  // until the call's time is over, while the link stays full.
+  // The timeout grows with the body. Otherwise a large one would be cancelled
+  // midway and sent in full to the next member, again and again until the
+  // call's time is over, while the link stays full.
   const std::chrono::milliseconds try_time =
       attempt.try_time + TimeToCarry(attempt.body.size());
   attempt.timer->expires_after(std::min<Duration>(left, Duration(try_time)));
@@ -134,7 +135,7 @@
   const Attempt& attempt = this->attempts.at(id);
   const std::string& leader = this->search.leader();
   const bool has_hint = !leader.empty() && leader != attempt.target;
-  const int pauses = std::min(static_cast<int>(attempt.tries), kMostPauses);
+  const int pauses = std::min(static_cast<int>(attempt.tries), kMaxPauses);
   this->Later(id, has_hint && attempt.tries < 3 ? std::chrono::milliseconds(0)
                                                 : kPause * pauses);
 }
--- a/src/coordination/internal/groupenvironment.cpp
+++ b/src/coordination/internal/groupenvironment.cpp
@@ -14,45 +14,45 @@
 namespace papayarack::coordination {
 namespace {
 
-/// A part of a member's state on its way to one that lags. Symptom guarded
-/// against: a store of 130 MB is killed when another one joins, because its
-/// whole state stands in memory once for each layer that it passes. It is
-/// exported once, for all that ask, and leaves in parts.
+/// A part of a member's state, sent to a member that lags. The state is
+/// exported once for all readers and sent in parts; sent as one message it
+/// would be in memory once for each layer, which gets a store of 130 MB killed
+/// when another one joins.
 struct StatePart {
   std::uint64_t version = 0;  ///< Of the export; zero asks for the newest.
   std::uint64_t offset = 0;
   std::uint64_t total = 0;
   std::string bytes;
-  std::uint64_t reader = 0;  ///< The same in all requests of one fetch.
+  std::uint64_t reader = 0;  ///< Same in all requests of one fetch.
   MSGPACK_DEFINE(version, offset, total, bytes, reader)
 };
 
 constexpr std::size_t kPartBytes = 256U << 10U;
-/// Whoever asked for no part during this time fetches no more.
-constexpr std::chrono::milliseconds kExportKept{3000};
-/// A lost part is asked for again so often: a connection that ended is made
-/// anew with the first of them, the others are for one that ends again.
+/// A reader that requested no part for this long has stopped.
+constexpr std::chrono::milliseconds kExportLifetime{3000};
+/// Retries of a lost part: the first reconnects, the others are for a
+/// connection that breaks again.
 constexpr int kPartRetries = 3;
 
-/// The last export of a member's state.
-struct ExportedOnce {
-  /// Counts from the wall clock: whoever fetches goes on after a lost part, and
-  /// must not take the export of a process that was started anew for the rest
-  /// of its predecessor's.
+/// The last export of a member's state, shared by its readers.
+struct SharedExport {
+  /// Starts from the wall clock, so that a reader that resumes after a lost
+  /// part does not mistake the export of a restarted process for the previous
+  /// one.
   std::uint64_t version = static_cast<std::uint64_t>(WallNow());
   std::string bytes;
   Time made{};
-  bool was_read = false;                  ///< Whole, by anyone.
-  std::map<std::uint64_t, Time> readers;  ///< Who is at it, as of when.
+  bool was_read = false;                  ///< Completely, by any reader.
+  std::map<std::uint64_t, Time> readers;  ///< Last request by reader.
 };
 
-/// Makes a new export, unless the present one will do for `reader`, who begins.
-/// Not an old one that somebody had whole already: that may be the asker, whom
-/// it did not help.
-void ExportFor(ExportedOnce& exported, Time now,
+/// Makes a new export for `reader`, which begins, unless the present one is
+/// usable. An old one that has been read completely is not: that reader may be
+/// the same one, and still lag.
+void ExportFor(SharedExport& exported, Time now,
                const replication::ReplicatedGroup& group) {
   const bool new_enough =
-      !exported.was_read || now - exported.made < kExportKept;
+      !exported.was_read || now - exported.made < kExportLifetime;
   if (!exported.bytes.empty() && !exported.readers.empty() && new_enough) {
     return;
   }
@@ -78,10 +78,10 @@
 void FetchPart(transport::PeerClient& peers, const std::string& path,
                const std::shared_ptr<StateFetch>& fetch);
 
-/// Symptom guarded against: a member that lags never gets the state of another,
-/// though the link between them is full. One lost connection gave up all parts
-/// that had arrived, and the next fetch began with the first. A fetch that has
-/// nothing yet ends at once: the member is gone, and the leader offers again.
+/// Retries lost parts and keeps those that arrived. Otherwise each broken
+/// connection would start the fetch again, and a member that lags might never
+/// get the state over a busy link. A fetch without any part yet ends at once:
+/// the member is gone, and the leader offers the state again.
 void TakePart(transport::PeerClient& peers, const std::string& path,
               const std::shared_ptr<StateFetch>& fetch) {
   StatePart part;
@@ -98,7 +98,7 @@
   }
   fetch->retries = 0;
   if (part.version != fetch->version) {
-    fetch->bytes.clear();  // Another export than before: begin again.
+    fetch->bytes.clear();  // Another export: start again.
     fetch->version = part.version;
   }
   if (part.offset != fetch->bytes.size() || part.bytes.empty()) {
@@ -132,14 +132,13 @@
              EncodeMessage(wanted), std::move(handlers));
 }
 
-/// Symptom guarded against: of two members that lag, one is sent the state of
-/// this one again and again. The export was let go as soon as one of them had
-/// its last part, and the other got a new one, from the first byte. It stays
-/// until all that are at it have had it whole.
+/// Keeps an export until all its readers have it completely. If it were dropped
+/// when the first reader finishes, a second one would start again with a new
+/// export, and might never finish.
 void ServeState(const std::string& path, transport::PeerServer*& server,
                 transport::PeerDispatch& dispatch,
                 std::unique_ptr<replication::ReplicatedGroup>& group) {
-  const auto exported = std::make_shared<ExportedOnce>();
+  const auto exported = std::make_shared<SharedExport>();
   dispatch.On(path, [&server, &group, exported](transport::StreamId stream,
                                                 const std::string& body) {
     if (group == nullptr) {
@@ -149,7 +148,7 @@
     auto part = DecodeMessage<StatePart>(body);
     const Time now = MonotonicNow();
     std::erase_if(exported->readers, [now](const auto& reader) {
-      return now - reader.second >= kExportKept;
+      return now - reader.second >= kExportLifetime;
     });
     const bool known = part.version == exported->version &&
                        part.offset < exported->bytes.size();
@@ -186,8 +185,8 @@
   dispatch.On(message_path,
               [&](transport::StreamId stream, const std::string& body) {
                 server->Finish(stream);
-                // A store hears of the group before it was told to found or
-                // join it.
+                // A store may receive messages of the group before it is told
+                // to found or join it.
                 if (group != nullptr) {
                   group->Step(body);
                 }
--- a/src/coordination/internal/jobmembers.cpp
+++ b/src/coordination/internal/jobmembers.cpp
@@ -7,9 +7,10 @@
 const NodeReport* NewestJobLeader(std::span<const NodeReport> nodes) {
   const NodeReport* newest = nullptr;
   for (const NodeReport& node : nodes) {
-    const bool speaks =
+    const bool reports_members =
         node.Role() == NodeRole::kStore && !node.job_members.empty();
-    if (speaks && (newest == nullptr || node.job_term > newest->job_term)) {
+    if (reports_members &&
+        (newest == nullptr || node.job_term > newest->job_term)) {
       newest = &node;
     }
   }
--- a/src/coordination/internal/nodetable.cpp
+++ b/src/coordination/internal/nodetable.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Which reports a process of `asker`'s role works with: stores are for all,
-/// gates for those that use engines or may own them.
+/// Selects the reports that a process of `asker`'s role needs: all need stores;
+/// those that use or may own engines need gates.
 auto WantedBy(NodeRole asker, bool entries_host) {
   return [asker, entries_host](const NodeReport& report) {
     switch (report.Role()) {
@@ -30,26 +30,27 @@
   this->nodes.Clear();
   this->heard.clear();
   this->since = now;
-  this->settled_told = false;
+  this->settled_announced = false;
 }
 
 bool NodeTable::Take(const NodeReport& report, Time now) {
   this->heard[report.name] = now;
   const bool changed = this->nodes.Set(report.name, report);
-  this->TellWhoHosts();
+  this->UpdateEntriesHost();
   return changed;
 }
 
-void NodeTable::TellWhoHosts() {
+void NodeTable::UpdateEntriesHost() {
   const bool stores = this->Count(NodeRole::kStore) > 0;
   if (stores == this->entries_host) {
     this->entries_host = !stores;
-    this->nodes.MakeAllWhole();
+    this->nodes.RequireFullList();
   }
 }
 
-/// Symptom guarded against: an engine stands idle, or is used blindly, for
-/// seconds after the process that owned its slots was lost.
+/// Lets other processes take over engines before the owner is dropped.
+/// Otherwise, for seconds after the owner of its slots is lost, an engine is
+/// idle or gets requests regardless of its free slots.
 void NodeTable::MarkAway(Time now) {
   std::vector<NodeReport> silent;
   this->nodes.ForEach([&](const std::string& name, const NodeReport& report) {
@@ -78,10 +79,10 @@
     this->heard.erase(name);
     this->nodes.Remove(name);
   }
-  this->TellWhoHosts();
-  if (!this->settled_told && this->Settled(now)) {
-    this->settled_told = true;
-    this->nodes.MakeAllWhole();
+  this->UpdateEntriesHost();
+  if (!this->settled_announced && this->Settled(now)) {
+    this->settled_announced = true;
+    this->nodes.RequireFullList();
   }
   return !this->last_dropped.empty();
 }
@@ -103,7 +104,7 @@
       .set;
 }
 
-/// Asked for with each answer to a watch, so without copies.
+/// Called for each reply to a watch, so it makes no copies.
 std::size_t NodeTable::Count(NodeRole role) const {
   std::size_t count = 0;
   this->nodes.ForEach([&](const std::string&, const NodeReport& report) {
--- a/src/coordination/internal/quarantinetracker.cpp
+++ b/src/coordination/internal/quarantinetracker.cpp
@@ -1,4 +1,4 @@
-#include "coordination/quarantinekeeper.h"
+#include "coordination/quarantinetracker.h"
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
@@ -11,9 +11,9 @@
 using quarantine::Fingerprint;
 using quarantine::Verdict;
 
-void QuarantineKeeper::BeginTerm() { this->ledger.Clear(); }
+void QuarantineTracker::BeginTerm() { this->ledger.Clear(); }
 
-void QuarantineKeeper::Heard(const WatchRequest& request, Time now) {
+void QuarantineTracker::OnReport(const WatchRequest& request, Time now) {
   for (const Fingerprint& survived : request.survived) {
     if (this->ledger.Quarantined(survived)) {
       Log(LogLevel::kWarn, "quarantine_lifted",
@@ -28,10 +28,10 @@
   for (const Fingerprint& known : request.quarantined) {
     this->ledger.Learn(known, now);
   }
-  this->Judge(now);
+  this->Evaluate(now);
 }
 
-void QuarantineKeeper::Judge(Time now) {
+void QuarantineTracker::Evaluate(Time now) {
   for (const Verdict& verdict : this->ledger.Judge(now)) {
     Log(LogLevel::kWarn, "request_quarantined",
         {{"fingerprint", verdict.request.ToString()},
@@ -42,18 +42,18 @@
   }
 }
 
-bool QuarantineKeeper::IsNews(const WatchRequest& request) const {
+bool QuarantineTracker::NeedsList(const WatchRequest& request) const {
   return request.self.Role() == NodeRole::kEntry &&
          request.quarantine_revision != 0 &&
          request.quarantine_revision != this->ledger.revision();
 }
 
-void QuarantineKeeper::AddTo(const WatchRequest& request,
-                             WatchReply& reply) const {
+void QuarantineTracker::AddTo(const WatchRequest& request,
+                              WatchReply& reply) const {
   reply.quarantine_revision = this->ledger.revision();
   const bool other_leader = request.term != reply.term;
   if (request.self.Role() != NodeRole::kEntry ||
-      !(other_leader || this->IsNews(request))) {
+      !(other_leader || this->NeedsList(request))) {
     return;
   }
   reply.has_quarantined = true;
--- a/src/coordination/internal/submissions.cpp
+++ b/src/coordination/internal/submissions.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "coordination/configurationchange.h"
-#include "coordination/configurationshelf.h"
+#include "coordination/configurationhistory.h"
 #include "global/logging.h"
 #include "global/variantcodec.h"
 
@@ -26,12 +26,13 @@
 
 void Submissions::BeginTerm(Time now) {
   this->applies_changes.clear();
-  this->hold.Clear(now);
+  this->acknowledgements.Clear(now);
 }
 
-void Submissions::Heard(const WatchRequest& report, Time now) {
+void Submissions::OnReport(const WatchRequest& report, Time now) {
   if (report.self.Role() == NodeRole::kEntry) {
-    this->hold.Heard(report.self.name, report.config_version, now);
+    this->acknowledgements.OnReport(report.self.name, report.config_version,
+                                    now);
   }
   if (report.applies_changes) {
     this->applies_changes.insert(report.self.address);
@@ -39,17 +40,17 @@
 }
 
 void Submissions::Tick(Time now) {
-  this->Acknowledge(this->group.Leads() ? this->hold.Release(now)
-                                        : this->hold.ReleaseAll(now));
+  this->Acknowledge(this->group.Leads() ? this->acknowledgements.TakeDue(now)
+                                        : this->acknowledgements.TakeAll(now));
 }
 
 void Submissions::Acknowledge(
-    std::span<const AcknowledgementHold::Released> due) {
-  for (const AcknowledgementHold::Released& one : due) {
+    std::span<const AcknowledgementQueue::Acknowledgement> due) {
+  for (const AcknowledgementQueue::Acknowledgement& one : due) {
     Log(LogLevel::kInfo, "configuration_acknowledged",
         {{"config_version", one.version},
          {"held_ms",
-          std::chrono::duration_cast<std::chrono::milliseconds>(one.held_for)
+          std::chrono::duration_cast<std::chrono::milliseconds>(one.delay)
               .count()},
          {"entries_lagging", one.lagging},
          {"first_lagging", one.first_lagging},
@@ -58,23 +59,23 @@
   }
 }
 
-/// Symptom guarded against: an operator that hears nothing for a second sends
-/// the same text to another process, and each copy becomes an entry of the log,
-/// sent to every member, while the first still waits for the link. A copy of
-/// what is on its way waits for that.
+/// A duplicate of a configuration in flight waits for the first one. Operators
+/// who get no reply for a second send the text to another process; otherwise
+/// each copy would become a log entry and be sent to every member while the
+/// first still waits for the link.
 void Submissions::Take(StreamId stream, SubmitConfiguration submitted) {
   const std::uint64_t version = submitted.version;
   if (version <= this->state.version()) {
-    this->TakeHeld(stream, version);
+    this->AcknowledgeCurrent(stream, version);
     return;
   }
-  const auto same = this->under_way.find(version);
-  if (same != this->under_way.end() && same->second.text == submitted.text) {
+  const auto same = this->in_flight.find(version);
+  if (same != this->in_flight.end() && same->second.text == submitted.text) {
     same->second.streams.push_back(stream);
     return;
   }
-  if (same != this->under_way.end()) {
-    // Other content under a version on its way: whichever comes first counts.
+  if (same != this->in_flight.end()) {
+    // Other content under a version in flight: the first one committed wins.
     this->group.Propose(EncodeVariant(CoordinationCommand(submitted)),
                         [this, stream, alive = this->alive](
                             const Result& result, const std::string&) {
@@ -90,13 +91,13 @@
       {{"config_version", version},
        {"text_bytes", submitted.text.size()},
        {"entry_bytes", entry.size()}});
-  this->under_way[version] = {std::move(submitted.text), {stream}};
+  this->in_flight[version] = {std::move(submitted.text), {stream}};
   this->Propose(version, entry);
 }
 
-/// Overtaken: acknowledged without an entry, once this member is known to lead
-/// still.
-void Submissions::TakeHeld(StreamId stream, std::uint64_t version) {
+/// The version in force is as new or newer: acknowledged without a log entry,
+/// once this member is confirmed as leader.
+void Submissions::AcknowledgeCurrent(StreamId stream, std::uint64_t version) {
   this->group.Read([this, stream, version, alive = this->alive](bool leads) {
     if (!*alive) {
       return;
@@ -105,7 +106,8 @@
       this->answer(stream, ResultCode::kNotLeader);
       return;
     }
-    this->hold.Hold(stream, version, this->state.text().size(), MonotonicNow());
+    this->acknowledgements.Add(stream, version, this->state.text().size(),
+                               MonotonicNow());
   });
 }
 
@@ -120,11 +122,11 @@
 }
 
 void Submissions::Confirmed(std::uint64_t version, ResultCode code) {
-  const auto ended = this->under_way.extract(version);
+  const auto ended = this->in_flight.extract(version);
   if (ended.empty()) {
     return;
   }
-  const UnderWay& submission = ended.mapped();
+  const InFlight& submission = ended.mapped();
   if (code != ResultCode::kOk) {
     for (const StreamId stream : submission.streams) {
       this->answer(stream, code);
@@ -133,7 +135,7 @@
   }
   const Time now = MonotonicNow();
   for (const StreamId stream : submission.streams) {
-    this->hold.Hold(stream, version, submission.text.size(), now);
+    this->acknowledgements.Add(stream, version, submission.text.size(), now);
   }
 }
 
@@ -145,12 +147,12 @@
       });
 }
 
-/// A change names what the text before lacks, so that text must be the same
-/// wherever the command is applied: nothing else may stand before it in the log
-/// that is not applied here.
+/// A change depends on the text before it, which must be the same wherever it
+/// is applied: no earlier log entry may be unapplied here.
 CoordinationCommand Submissions::CommandFor(
     const SubmitConfiguration& submitted) const {
-  const bool large = submitted.text.size() > ConfigurationShelf::kInlineBytes;
+  const bool large =
+      submitted.text.size() > ConfigurationHistory::kMaxInlineBytes;
   if (large && this->group.Leads() && this->group.AllApplied() &&
       this->MembersApplyChanges()) {
     auto change = ChangeBetween(this->state.text(), submitted);
--- a/src/coordination/internal/textfetch.cpp
+++ b/src/coordination/internal/textfetch.cpp
@@ -12,28 +12,28 @@
 namespace {
 
 constexpr const char* kPath = "/coordination/chunks";
-/// Asked for at once. 64 KB are 17 ms of a link of 30 Mbit/s, the slowest; what
-/// else the sender has to say waits no longer behind them.
+/// Size of one request. 64 KB take 17 ms on a link of 30 Mbit/s, the slowest;
+/// the sender's other messages wait no longer than that behind a part.
 constexpr std::size_t kPartBytes = 64U << 10U;
-/// An answer stays below this whatever was asked for.
-constexpr std::size_t kMostPartBytes = 4 * kPartBytes;
-/// For the first part. A source is named once it obeys the text, so it has
-/// nothing to read any more; one that stands still would cost a fetcher most of
-/// the time within which it is to obey.
+/// Upper bound of a reply, whatever was requested.
+constexpr std::size_t kMaxPartBytes = 4 * kPartBytes;
+/// Timeout of the first part. A source has already applied the text, so it need
+/// not read anything; waiting longer for a stalled one would use up most of the
+/// time in which the fetcher must apply the text.
 constexpr std::chrono::milliseconds kFirstPartTime{500};
-/// For each further part, from a source that has shown that it gives. Twenty
-/// times what it needs on a link that is shared by five.
+/// Timeout of each further part, from a source known to respond. Twenty times
+/// what a part needs on a link shared by five.
 constexpr std::chrono::milliseconds kPartTime{1500};
-/// For all parts from one source, and TimeToCarry more: a source whose parts
-/// each come just in time would take 10 s for 400 KB.
+/// Timeout of all parts from one source; TimeToCarry is added. A source whose
+/// parts each come just in time would take 10 s for 400 KB.
 constexpr std::chrono::milliseconds kSourceTime{1500};
 
-ChunksFound FindChunks(const HeldText& held, const ChunksWanted& wanted) {
+ChunksFound FindChunks(const LocalText& held, const ChunksWanted& wanted) {
   ChunksFound found;
   std::size_t bytes = 0;
   for (const ChunkName& chunk : wanted.chunks) {
     const auto part = held.index->Find(held.text, chunk.hash);
-    if (part.has_value() && bytes + part->size() <= kMostPartBytes) {
+    if (part.has_value() && bytes + part->size() <= kMaxPartBytes) {
       bytes += part->size();
       found.chunks.emplace_back(*part);
     }
@@ -45,7 +45,7 @@
 
 void ServeChunks(transport::PeerServer*& server,
                  transport::PeerDispatch& dispatch,
-                 std::function<HeldText()> held) {
+                 std::function<LocalText()> held) {
   dispatch.On(kPath, [&server, held = std::move(held)](
                          transport::StreamId stream, const std::string& body) {
     const auto wanted = DecodeMessage<ChunksWanted>(body);
@@ -93,10 +93,10 @@
     this->End(std::nullopt);
     return;
   }
-  this->AskPart();
+  this->RequestPart();
 }
 
-void TextFetch::AskPart() {
+void TextFetch::RequestPart() {
   const std::uint64_t number = ++this->round;
   const auto current = [this, number, alive = this->alive] {
     return *alive && this->round == number;
@@ -127,8 +127,8 @@
   });
 }
 
-/// A source that has another version may lack the whole first part and still
-/// hold nearly all of the rest: it is asked for each chunk once.
+/// Requests each chunk once from a source: one with another version may lack
+/// the whole first part and still have nearly all of the rest.
 void TextFetch::OnPart(const std::string& message) {
   this->any_part = true;
   try {
@@ -151,7 +151,7 @@
   } else if (this->assembly.Missing(kPartBytes, this->not_given).empty()) {
     this->End(std::nullopt);
   } else {
-    this->AskPart();
+    this->RequestPart();
   }
 }
 
--- a/src/coordination/internal/transferplan.cpp
+++ b/src/coordination/internal/transferplan.cpp
@@ -21,7 +21,7 @@
   }
 }
 
-void TransferPlan::GiveBackPlace(Process& process) {
+void TransferPlan::ReleaseSlot(Process& process) {
   if (!std::exchange(process.counted, false)) {
     return;
   }
@@ -32,7 +32,7 @@
 }
 
 void TransferPlan::Release(Process& process) {
-  this->GiveBackPlace(process);
+  this->ReleaseSlot(process);
   process.source.clear();
 }
 
@@ -42,10 +42,10 @@
   process.source_since = now;
   process.confirmed = false;
   process.held_before = process.report.held;
-  this->TakePlace(process);
+  this->AcquireSlot(process);
 }
 
-void TransferPlan::TakePlace(Process& process) {
+void TransferPlan::AcquireSlot(Process& process) {
   const bool own_copy = process.source == process.report.address;
   if (!own_copy && !std::exchange(process.counted, true)) {
     ++this->fetchers[process.source];
@@ -68,11 +68,11 @@
 
 void TransferPlan::ForgetOldFailures(Process& process, Time now) {
   std::erase_if(process.failures, [now](const auto& failure) {
-    return now - failure.second.last >= kRememberFailure;
+    return now - failure.second.last >= kFailureRetention;
   });
 }
 
-void TransferPlan::Heard(const TransferReport& report, Time now) {
+void TransferPlan::OnReport(const TransferReport& report, Time now) {
   Process& process = this->processes[report.name];
   const bool same_start = process.report.incarnation == report.incarnation;
   process.report = report;
@@ -80,26 +80,26 @@
   if (!process.source.empty() && report.fetching_from == process.source) {
     process.source_since = now;
     process.confirmed = true;
-    this->TakePlace(process);
+    this->AcquireSlot(process);
     return;
   }
   if (!process.source.empty()) {
-    // It has the text as of when it began, which need not be the newest now, or
-    // has started anew, or its source failed it and it asks for another.
+    // The fetch has ended. This is no failure if the process has a newer
+    // version than before, even if not the newest, or has restarted.
     if (report.held <= process.held_before && same_start) {
       this->NoteFailure(process, now);
     }
     this->Release(process);
   }
-  // Symptom guarded against: after a change of leader a source serves twice as
-  // many as it may, as the new leader knows of none that the former one gave.
+  // Counts a fetch that the previous leader assigned. Otherwise a source would
+  // serve up to twice its limit after a change of leader.
   if (!report.fetching_from.empty()) {
     this->Begin(process, report.fetching_from, now);
     process.confirmed = true;
   }
 }
 
-void TransferPlan::Gone(const std::string& name) {
+void TransferPlan::Remove(const std::string& name) {
   const auto found = this->processes.find(name);
   if (found == this->processes.end()) {
     return;
@@ -113,12 +113,12 @@
     const Duration silent = now - process.source_since;
     if (!process.source.empty() && silent > kForgetAfter) {
       this->Release(process);
-    } else if (!process.confirmed && silent > kUnconfirmedFor) {
-      this->GiveBackPlace(process);
+    } else if (!process.confirmed && silent > kConfirmTimeout) {
+      this->ReleaseSlot(process);
     }
   }
   std::erase_if(this->failed, [now](const auto& source) {
-    return now - source.second >= kAvoidFor;
+    return now - source.second >= kSourceBackoff;
   });
 }
 
@@ -130,8 +130,8 @@
 bool TransferPlan::MayServe(const std::string& address, Time now) const {
   const auto found = this->failed.find(address);
   const bool avoided =
-      found != this->failed.end() && now - found->second < kAvoidFor;
-  return !avoided && this->FetchersOf(address) < kMostFetchers;
+      found != this->failed.end() && now - found->second < kSourceBackoff;
+  return !avoided && this->FetchersOf(address) < kMaxFetchers;
 }
 
 bool TransferPlan::HasText(const Process& process, Time now) const {
@@ -148,7 +148,8 @@
 }
 
 bool TransferPlan::ReadsOwnCopy(const Process& process) {
-  return process.report.is_member && process.own_copy_failures < kOwnCopyTries;
+  return process.report.is_member &&
+         process.own_copy_failures < kMaxOwnCopyAttempts;
 }
 
 bool TransferPlan::ReadsOwnCopy(const std::string& name) const {
@@ -173,20 +174,19 @@
   ForgetOldFailures(asker, now);
   const bool own_copy = ReadsOwnCopy(asker);
   if (own_copy && asker.own_copy_failures > 0 &&
-      now - asker.own_copy_failed < kOwnCopyPause) {
+      now - asker.own_copy_failed < kOwnCopyRetryDelay) {
     return std::nullopt;
   }
   const auto allowed = [&](const std::string& address) {
     const auto own_failure = asker.failures.find(address);
     return this->MayServe(address, now) &&
            (own_failure == asker.failures.end() ||
-            now - own_failure->second.last >= kAvoidFor);
+            now - own_failure->second.last >= kSourceBackoff);
   };
   std::string best = own_copy ? asker.report.address : std::string();
   std::size_t best_cost = SIZE_MAX;
   const auto offer = [&](const std::string& address, std::size_t distance) {
-    // More than any distance: one that has failed goes behind all that have
-    // not.
+    // Larger than any distance, so that sources that have failed come last.
     constexpr std::size_t kFailed = 1000;
     const std::size_t load = this->FetchersOf(address);
     const auto own_failures = asker.failures.find(address);
@@ -199,14 +199,15 @@
     }
   };
   if (!own_copy) {
-    // Bytes between zones are the dearer ones, and the leader's link carries
-    // everything else too: it gives what nobody else can.
+    // Traffic between zones is costlier, and the leader's link carries all
+    // other messages too, so the leader is the last choice.
     constexpr std::size_t kOtherZone = 10;
     constexpr std::size_t kLeader = 100;
-    // Symptom guarded against: a process that cannot reach some holders goes
-    // from one to the next and back, and has the text seconds late or never.
-    // Members are what the promise of an acknowledgement rests on.
-    const bool detoured = asker.failures.size() >= kMostDetours;
+    // Prefers members after a failure. Otherwise a process that cannot reach
+    // some sources goes from one to the next and back, and gets the text
+    // seconds late or never. The guarantee of an acknowledgement depends on the
+    // members only.
+    const bool detoured = asker.failures.size() >= kMaxDetours;
     const std::size_t others = detoured ? 2 * kLeader : 0;
     for (const auto& [other, process] : this->processes) {
       const TransferReport& report = process.report;
--- a/src/coordination/jobmembers.h
+++ b/src/coordination/jobmembers.h
@@ -9,20 +9,18 @@
 
 namespace papayarack::coordination {
 
-/// The report of the store that led the job group last: a higher term is the
-/// newer word. Nothing where none has spoken. Points into `nodes`. Thread
-/// safety: any thread.
+/// The report of the store that led the job group last, by the highest term.
+/// Null if none has reported. Points into `nodes`. Thread safety: any thread.
 const NodeReport* NewestJobLeader(std::span<const NodeReport> nodes);
 
-/// Whom a caller that knows no leader of the job group asks, in this order and
-/// then from the start again: the leader by the newest report, then the other
-/// members and the other stores in turn.
+/// The order, to be repeated, in which a caller that knows no leader of the job
+/// group tries the stores: the last known leader, then the other members and
+/// the other stores alternately.
 ///
-/// Symptom guarded against: in a fleet of many stores, batches are refused or
-/// accepted seconds late beside a group that works: a caller went round stores
-/// of which one in ten is a member, and only members can name the leader. Half
-/// of the places are members; the others lead to a group that has moved since.
-/// Thread safety: any thread.
+/// Half of the positions are members, as only members can name the leader. In a
+/// fleet where one store in ten is a member, trying all in turn gets batches
+/// refused or accepted seconds late. The other stores find a group whose
+/// members have changed since. Thread safety: any thread.
 std::vector<std::string> JobCallOrder(std::span<const NodeReport> nodes);
 
 }  // namespace papayarack::coordination
--- a/src/coordination/leadersearch.h
+++ b/src/coordination/leadersearch.h
@@ -8,19 +8,18 @@
 
 namespace papayarack::coordination {
 
-/// What a process knows of where the leader of one replicated group is, and
-/// whom it asks next. All that ask in a process share one. Symptom guarded
-/// against: operators' calls are refused for want of a leader while the watch
-/// of the same process hears from it every second, because calls keep a leader
-/// of their own and go round more processes to find it than they have time
-/// for. Does no I/O. Thread safety: none.
+/// A process's knowledge of the leader of one replicated group, and the order
+/// in which to try processes to find it. Shared by all callers in a process:
+/// with separate searches, operators' calls fail for lack of a leader while the
+/// watch of the same process is in contact with it, because they try more
+/// processes than their time allows. Does no I/O. Thread safety: none.
 class LeaderSearch {
  public:
-  /// Addresses of the group's members as far as they are known.
+  /// Known addresses of the group's members.
   void SetMembers(std::vector<std::string> addresses);
-  /// Addresses to start from, which need not be members.
+  /// Addresses to start from; need not be members.
   void SetSeeds(std::vector<std::string> addresses);
-  /// Further processes that may know a member. They answer no calls to the
+  /// Other processes that may know a member. They do not answer calls to the
   /// leader.
   void SetOthers(std::vector<std::string> addresses);
 
@@ -29,21 +28,21 @@
   const std::vector<std::string>& members() const {
     return this->known_members;
   }
-  /// `address` has answered as leader.
+  /// `address` answered as leader.
   void Found(std::string address);
   /// `address` did not answer.
   void Lost(std::string_view address);
-  /// `address` does not lead and names `hint`, which may be empty. A hint does
-  /// not replace a leader that others have found meanwhile.
+  /// `address` is not the leader and names `hint`, which may be empty. A hint
+  /// does not replace a leader that was found meanwhile.
   void Refused(std::string_view address, std::string hint);
 
-  /// Whom a question that any process may answer goes to: the leader or, while
-  /// none is known, members and seeds in turn, with one of the others in
-  /// between. Empty when no address is known.
+  /// Target for a query that any process may answer: the leader or, while none
+  /// is known, members and seeds in turn, alternating with the others. Empty if
+  /// no address is known.
   std::string Next();
-  /// Whom a call to the leader goes to: the leader, unless it is `avoided`, or
-  /// the next member. Seeds only while no member is known. Empty when no
-  /// address is known.
+  /// Target for a call to the leader: the leader, unless it is `avoided`, or
+  /// the next member. Seeds only while no member is known. Empty if no address
+  /// is known.
   std::string NextForCall(std::string_view avoided);
 
  private:
--- a/src/coordination/quarantinetracker.h
+++ b/src/coordination/quarantinetracker.h
@@ -1,5 +1,5 @@
-#ifndef PAPAYARACK_COORDINATION_QUARANTINEKEEPER_H_
-#define PAPAYARACK_COORDINATION_QUARANTINEKEEPER_H_
+#ifndef PAPAYARACK_COORDINATION_QUARANTINETRACKER_H_
+#define PAPAYARACK_COORDINATION_QUARANTINETRACKER_H_
 
 #include <cstdint>
 
@@ -9,20 +9,20 @@
 
 namespace papayarack::coordination {
 
-/// The leader's part in stopping requests that crash replicas: counts what all
-/// entries report and tells them which requests are not to be run. Thread
-/// safety: none.
-class QuarantineKeeper {
+/// The leader's part of quarantining requests that crash replicas: counts the
+/// crashes that all entries report and sends the quarantined requests to
+/// entries. Thread safety: none.
+class QuarantineTracker {
  public:
-  /// A new leader learns everything from the entries' reports.
+  /// Resets the state for a new leader, which learns all from entries' reports.
   void BeginTerm();
-  void Heard(const WatchRequest& request, Time now);
-  /// Reaches verdicts that are due.
-  void Judge(Time now);
-  /// Whether an asker lacks the newest list. Entries only: others send nothing
-  /// on a caller's behalf.
-  bool IsNews(const WatchRequest& request) const;
-  /// Adds the list where the asker, or the leader it knew before, lacks it.
+  void OnReport(const WatchRequest& request, Time now);
+  /// Quarantines the requests for which that is due.
+  void Evaluate(Time now);
+  /// Whether the sender lacks the newest list. True for entries only, as other
+  /// processes send no callers' requests.
+  bool NeedsList(const WatchRequest& request) const;
+  /// Adds the list if the sender, or the leader that it knew before, lacks it.
   void AddTo(const WatchRequest& request, WatchReply& reply) const;
 
  private:
@@ -31,4 +31,4 @@
 
 }  // namespace papayarack::coordination
 
-#endif  // PAPAYARACK_COORDINATION_QUARANTINEKEEPER_H_
+#endif  // PAPAYARACK_COORDINATION_QUARANTINETRACKER_H_
--- a/src/coordination/tests/acknowledgementqueue_tests.cpp
+++ b/src/coordination/tests/acknowledgementqueue_tests.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 #include <vector>
 
-#include "coordination/acknowledgementhold.h"
+#include "coordination/acknowledgementqueue.h"
 #include "global/linkpace.h"
 
 namespace papayarack::coordination {
@@ -14,9 +14,10 @@
 constexpr transport::StreamId kFirst = 11;
 constexpr transport::StreamId kSecond = 12;
 
-Streams StreamsOf(const std::vector<AcknowledgementHold::Released>& released) {
+Streams StreamsOf(
+    const std::vector<AcknowledgementQueue::Acknowledgement>& released) {
   Streams streams;
-  for (const AcknowledgementHold::Released& one : released) {
+  for (const AcknowledgementQueue::Acknowledgement& one : released) {
     streams.push_back(one.stream);
   }
   return streams;
@@ -24,100 +25,102 @@
 
 }  // namespace
 
-// A large configuration is confirmed, and the leader or its link fails right
-// after: what entries obey then is what they had obeyed when it was
-// acknowledged, so the acknowledgement waits for them, within bounds.
-TEST_CASE("an acknowledgement is held until the entries obey") {
-  AcknowledgementHold hold;
+// Guards against entries that serve by an older configuration after a newer one
+// was acknowledged. If the leader or its link fails right after the
+// acknowledgement, entries get nothing further, so the acknowledgement waits
+// for them, up to a bound.
+TEST_CASE("an acknowledgement waits until entries have applied the version") {
+  AcknowledgementQueue queue;
   const Time start = Time(std::chrono::hours(1));
-  hold.Clear(start);
-  hold.Heard("a", 4, start + milliseconds(900));
-  hold.Heard("b", 4, start + milliseconds(1200));
-  const Time now = start + AcknowledgementHold::kInTouch;
+  queue.Clear(start);
+  queue.OnReport("a", 4, start + milliseconds(900));
+  queue.OnReport("b", 4, start + milliseconds(1200));
+  const Time now = start + AcknowledgementQueue::kReportTimeout;
 
-  SECTION("as long as one of them does not") {
-    hold.Hold(kFirst, 6, kSmallBytes, now);
-    hold.Heard("a", 6, now + milliseconds(20));
-    CHECK(hold.Release(now + milliseconds(40)).empty());
-    hold.Heard("b", 7, now + milliseconds(50));
-    CHECK(StreamsOf(hold.Release(now + milliseconds(60))) == Streams{kFirst});
-    CHECK(hold.Release(now + milliseconds(80)).empty());
+  SECTION("while one of them has not") {
+    queue.Add(kFirst, 6, kSmallBytes, now);
+    queue.OnReport("a", 6, now + milliseconds(20));
+    CHECK(queue.TakeDue(now + milliseconds(40)).empty());
+    queue.OnReport("b", 7, now + milliseconds(50));
+    CHECK(StreamsOf(queue.TakeDue(now + milliseconds(60))) == Streams{kFirst});
+    CHECK(queue.TakeDue(now + milliseconds(80)).empty());
   }
-  SECTION("each for its own version") {
-    hold.Hold(kFirst, 8, kSmallBytes, now);
-    hold.Hold(kSecond, 6, kSmallBytes, now);
-    hold.Heard("a", 6, now);
-    hold.Heard("b", 6, now);
-    CHECK(StreamsOf(hold.Release(now)) == Streams{kSecond});
+  SECTION("each acknowledgement for its own version") {
+    queue.Add(kFirst, 8, kSmallBytes, now);
+    queue.Add(kSecond, 6, kSmallBytes, now);
+    queue.OnReport("a", 6, now);
+    queue.OnReport("b", 6, now);
+    CHECK(StreamsOf(queue.TakeDue(now)) == Streams{kSecond});
   }
-  SECTION("at most for its bound") {
-    hold.Hold(kFirst, 6, kSmallBytes, now);
-    const Time bound = now + AcknowledgementHold::kLongest;
-    hold.Heard("a", 4, now + milliseconds(200));
-    hold.Heard("b", 6, now + milliseconds(200));
-    CHECK(hold.Release(bound - milliseconds(1)).empty());
-    const auto released = hold.Release(bound);
+  SECTION("no longer than the bound") {
+    queue.Add(kFirst, 6, kSmallBytes, now);
+    const Time bound = now + AcknowledgementQueue::kMaxDelay;
+    queue.OnReport("a", 4, now + milliseconds(200));
+    queue.OnReport("b", 6, now + milliseconds(200));
+    CHECK(queue.TakeDue(bound - milliseconds(1)).empty());
+    const auto released = queue.TakeDue(bound);
     CHECK(StreamsOf(released) == Streams{kFirst});
     CHECK(released.front().version == 6);
     CHECK(released.front().lagging == 1);
     CHECK(released.front().first_lagging == "a");
-    CHECK(released.front().held_for == AcknowledgementHold::kLongest);
+    CHECK(released.front().delay == AcknowledgementQueue::kMaxDelay);
   }
-  SECTION("counted from the first of those who sent it") {
-    hold.Hold(kFirst, 6, kSmallBytes, now);
-    const Time bound = now + AcknowledgementHold::kLongest;
-    hold.Heard("a", 4, now + milliseconds(250));
-    hold.Heard("b", 4, now + milliseconds(250));
-    hold.Hold(kSecond, 6, kSmallBytes, now + milliseconds(250));
-    CHECK(StreamsOf(hold.Release(bound)) == Streams{kFirst, kSecond});
-    SECTION("so that nobody waits again for what was acknowledged") {
-      hold.Hold(kFirst, 5, kSmallBytes, bound + milliseconds(10));
-      CHECK(StreamsOf(hold.Release(bound + milliseconds(10))) ==
+  SECTION("with the bound counted from the first submission") {
+    queue.Add(kFirst, 6, kSmallBytes, now);
+    const Time bound = now + AcknowledgementQueue::kMaxDelay;
+    queue.OnReport("a", 4, now + milliseconds(250));
+    queue.OnReport("b", 4, now + milliseconds(250));
+    queue.Add(kSecond, 6, kSmallBytes, now + milliseconds(250));
+    CHECK(StreamsOf(queue.TakeDue(bound)) == Streams{kFirst, kSecond});
+    SECTION("an older version does not wait again") {
+      queue.Add(kFirst, 5, kSmallBytes, bound + milliseconds(10));
+      CHECK(StreamsOf(queue.TakeDue(bound + milliseconds(10))) ==
             Streams{kFirst});
     }
-    SECTION("but for a newer one") {
-      hold.Hold(kFirst, 7, kSmallBytes, bound + milliseconds(10));
-      CHECK(hold.Release(bound + milliseconds(10)).empty());
+    SECTION("a newer version waits again") {
+      queue.Add(kFirst, 7, kSmallBytes, bound + milliseconds(10));
+      CHECK(queue.TakeDue(bound + milliseconds(10)).empty());
     }
   }
-  SECTION("which is longer for a large text") {
+  SECTION("with a longer bound for a large text") {
     constexpr std::size_t kLargeBytes = 900'000;
-    hold.Hold(kFirst, 6, kLargeBytes, now);
+    queue.Add(kFirst, 6, kLargeBytes, now);
     const Time bound =
-        now + AcknowledgementHold::kLongest + TimeToCarry(kLargeBytes);
+        now + AcknowledgementQueue::kMaxDelay + TimeToCarry(kLargeBytes);
     for (Time at = now; at < bound; at += milliseconds(100)) {
-      hold.Heard("a", 4, at);
-      hold.Heard("b", 6, at);
-      CHECK(hold.Release(at).empty());
+      queue.OnReport("a", 4, at);
+      queue.OnReport("b", 6, at);
+      CHECK(queue.TakeDue(at).empty());
     }
-    CHECK(StreamsOf(hold.Release(bound)) == Streams{kFirst});
+    CHECK(StreamsOf(queue.TakeDue(bound)) == Streams{kFirst});
   }
-  SECTION("not for one that is gone") {
-    const Time gone = start + milliseconds(900) + AcknowledgementHold::kInTouch;
-    hold.Hold(kFirst, 6, kSmallBytes, gone);
-    hold.Heard("b", 6, gone);
-    CHECK(hold.Release(gone).empty());
-    CHECK(StreamsOf(hold.Release(gone + milliseconds(1))) == Streams{kFirst});
+  SECTION("but not for an entry that has stopped reporting") {
+    const Time gone =
+        start + milliseconds(900) + AcknowledgementQueue::kReportTimeout;
+    queue.Add(kFirst, 6, kSmallBytes, gone);
+    queue.OnReport("b", 6, gone);
+    CHECK(queue.TakeDue(gone).empty());
+    CHECK(StreamsOf(queue.TakeDue(gone + milliseconds(1))) == Streams{kFirst});
   }
-  SECTION("by a new leader for the bound, as it does not know them all yet") {
-    hold.Clear(now);
-    hold.Heard("a", 6, now);
-    hold.Hold(kFirst, 6, kSmallBytes, now);
-    CHECK(hold.Release(now + milliseconds(100)).empty());
-    CHECK(StreamsOf(hold.Release(now + AcknowledgementHold::kLongest)) ==
+  SECTION("for the whole bound at a new leader, which lacks reports") {
+    queue.Clear(now);
+    queue.OnReport("a", 6, now);
+    queue.Add(kFirst, 6, kSmallBytes, now);
+    CHECK(queue.TakeDue(now + milliseconds(100)).empty());
+    CHECK(StreamsOf(queue.TakeDue(now + AcknowledgementQueue::kMaxDelay)) ==
           Streams{kFirst});
   }
-  SECTION("no longer than this member leads, as it was confirmed") {
-    hold.Hold(kFirst, 6, kSmallBytes, now);
-    hold.Hold(kSecond, 6, kSmallBytes, now);
-    CHECK(StreamsOf(hold.ReleaseAll(now)) == Streams{kFirst, kSecond});
-    CHECK(hold.Release(now + AcknowledgementHold::kLongest).empty());
+  SECTION("only while this member leads") {
+    queue.Add(kFirst, 6, kSmallBytes, now);
+    queue.Add(kSecond, 6, kSmallBytes, now);
+    CHECK(StreamsOf(queue.TakeAll(now)) == Streams{kFirst, kSecond});
+    CHECK(queue.TakeDue(now + AcknowledgementQueue::kMaxDelay).empty());
   }
-  SECTION("and not at all where no entry is known") {
-    AcknowledgementHold alone;
+  SECTION("but not if no entry is known") {
+    AcknowledgementQueue alone;
     alone.Clear(start);
-    alone.Hold(kFirst, 6, kSmallBytes, now);
-    CHECK(StreamsOf(alone.Release(now)) == Streams{kFirst});
+    alone.Add(kFirst, 6, kSmallBytes, now);
+    CHECK(StreamsOf(alone.TakeDue(now)) == Streams{kFirst});
   }
 }
 
--- a/src/coordination/tests/changelist_tests.cpp
+++ b/src/coordination/tests/changelist_tests.cpp
@@ -21,7 +21,7 @@
   bool operator==(const Listed&) const = default;
 };
 
-/// One reader: which zone it asks for (none: all), what it holds, as of when.
+/// A reader: the zone that it wants (none: all), its items and their revision.
 struct Reader {
   std::optional<int> zone;
   std::vector<Listed> held;
@@ -34,14 +34,15 @@
   }
 };
 
-/// The list, its model, and readers that ask now and then.
+/// The list under test, a reference model, and readers that update now and
+/// then.
 class ListModel {
  public:
   explicit ListModel(bool zones_change) : zones_change(zones_change) {
     for (const std::optional<int> zone :
          {std::optional<int>(), std::optional<int>(0), std::optional<int>(1),
           std::optional<int>(2)}) {
-      // Several of a kind, which ask at other times.
+      // Two of each kind, which update at different times.
       this->readers.push_back({zone, {}, 0});
       this->readers.push_back({zone, {}, 0});
     }
@@ -67,7 +68,7 @@
       this->list.Clear();
       this->model.clear();
     } else if (kind < 69) {
-      this->list.MakeAllWhole();
+      this->list.RequireFullList();
     } else if (kind < 71) {
       this->RemoveMany();
     } else {
@@ -83,7 +84,7 @@
 
  private:
   void RemoveMany() {
-    constexpr int kMany = 1100;  ///< More than the list remembers.
+    constexpr int kMany = 1100;  ///< More than the list keeps tombstones for.
     for (int i = 0; i < kMany; ++i) {
       const std::string key = "many" + std::to_string(i);
       this->list.Set(key, {key, 1, 0});
@@ -116,7 +117,7 @@
   std::vector<Reader> readers;
 };
 
-void PlayList(bool zones_change) {
+void RunRandomSteps(bool zones_change) {
   const auto length = *rc::gen::inRange<std::size_t>(1, 200);
   const auto steps = *rc::gen::container<std::vector<std::uint32_t>>(
       length, rc::gen::inRange<std::uint32_t>(0, 1U << 20U));
@@ -129,43 +130,41 @@
 
 }  // namespace
 
-TEST_CASE("a reader that applies the changes holds the list") {
-  SECTION("whatever happened since it asked") {
-    CHECK(rc::check("while items stay with their readers",
-                    [] { PlayList(false); }));
+TEST_CASE("a reader that applies changes has the same items as the list") {
+  SECTION("after any sequence of changes") {
+    CHECK(rc::check("items keep their zone", [] { RunRandomSteps(false); }));
   }
-  // Symptom: a reader goes on using an item that is not for it any more.
-  // Sequence: the item was for this reader; it is set, or removed and set
-  // again, as one for another. Cause: only items that are for the reader now
-  // counted as changes.
-  SECTION("also where items pass from some readers to others") {
-    CHECK(rc::check("while items change their zone", [] { PlayList(true); }));
+  // Guards against a reader that keeps an item which is for another reader now.
+  // The item is set, or removed and set again, with another zone, and only
+  // items that the reader wants now counted as changes.
+  SECTION("also if items move to other readers") {
+    CHECK(rc::check("items change their zone", [] { RunRandomSteps(true); }));
   }
-  SECTION("and gets what changed only") {
+  SECTION("and receives only changes") {
     const auto all = [](const Listed&) { return true; };
     ChangeList<Listed, &Listed::zone> list;
     list.Set("a", {"a", 0, 0});
     list.Set("b", {"b", 0, 0});
     const std::uint64_t before = list.revision();
-    SECTION("as an item that is set") {
+    SECTION("an item that is set") {
       CHECK(list.Set("b", {"b", 0, 1}));
       const ListChanges<Listed> changes = list.Since(before, all);
       CHECK_FALSE(changes.whole);
       CHECK(changes.set == std::vector<Listed>{{"b", 0, 1}});
       CHECK(changes.removed.empty());
     }
-    SECTION("as a key that is gone") {
+    SECTION("a key that is removed") {
       CHECK(list.Remove("a"));
       CHECK_FALSE(list.Remove("a"));
       const ListChanges<Listed> changes = list.Since(before, all);
       CHECK(changes.set.empty());
       CHECK(changes.removed == std::vector<std::string>{"a"});
     }
-    SECTION("not at all where the same was set again") {
+    SECTION("nothing if an equal item is set") {
       CHECK_FALSE(list.Set("b", {"b", 0, 0}));
       CHECK_FALSE(list.ChangedSince(before, all));
     }
-    SECTION("but the whole list when too much was removed since") {
+    SECTION("the complete list if too many were removed") {
       constexpr int kMany = 1001;
       for (int i = 0; i < kMany; ++i) {
         list.Set("x", {"x", 0, i});
@@ -175,7 +174,7 @@
       CHECK(list.Since(before, all).whole);
       CHECK_FALSE(list.Since(list.revision(), all).whole);
     }
-    SECTION("but the whole list when it has a revision of the future") {
+    SECTION("the complete list for a revision from the future") {
       CHECK(list.Since(before + 1, all).whole);
     }
   }
--- a/src/coordination/tests/coordination_tests.cpp
+++ b/src/coordination/tests/coordination_tests.cpp
@@ -36,15 +36,15 @@
 TEST_CASE("the highest configuration version is in force") {
   CoordinationState state;
   state.Apply(Submit(7, "seven"));
-  SECTION("a late older one changes nothing") {
+  SECTION("a late older version changes nothing") {
     state.Apply(Submit(5, "five"));
     CHECK(state.text() == "seven");
   }
-  SECTION("other content under the version held changes nothing") {
+  SECTION("other content under the same version changes nothing") {
     state.Apply(Submit(7, "other"));
     CHECK(state.text() == "seven");
   }
-  SECTION("a higher one replaces it, and survives a snapshot") {
+  SECTION("a higher version replaces it and is in the snapshot") {
     state.Apply(Submit(9, "nine"));
     CoordinationState restored;
     restored.Load(state.Save());
@@ -53,9 +53,9 @@
   }
 }
 
-// A text that is put together from what differs must be the very text that was
-// sent, or members obey something that nobody wrote.
-TEST_CASE("a change makes the text that was sent") {
+// Guards against members that apply a text which nobody submitted: a change
+// must reproduce exactly the submitted text.
+TEST_CASE("a change reproduces the submitted text") {
   const auto text = [](std::size_t lines, std::size_t from) {
     std::string made;
     for (std::size_t i = from; i < from + lines; ++i) {
@@ -75,36 +75,36 @@
     CHECK(state.version() == version);
     CHECK(state.text() == to);
   };
-  SECTION("with a line more, less, at the ends or twice the same") {
+  SECTION("after insertions, removals and a repetition") {
     apply_change(2, before + "one more\n");
     apply_change(3, "first\n" + before);
     apply_change(5, before.substr(before.size() / 3));
     apply_change(6, state.text() + state.text());
   }
-  SECTION("one made for another text changes nothing") {
+  SECTION("a change made for another text changes nothing") {
     const auto change = ChangeBetween(before, {9, before + "nine\n"});
     state.Apply(Submit(2, text(4000, 9000)));
     state.Apply(EncodeVariant(CoordinationCommand(*change)));
     CHECK(state.version() == 2);
     CHECK(state.text() == text(4000, 9000));
   }
-  SECTION("nor does a late one") {
+  SECTION("a late change changes nothing") {
     const auto change = ChangeBetween(before, {2, before + "two\n"});
     state.Apply(Submit(3, before));
     state.Apply(EncodeVariant(CoordinationCommand(*change)));
     CHECK(state.version() == 3);
     CHECK(state.text() == before);
   }
-  SECTION("another text altogether, or one within a chunk, goes whole") {
+  SECTION("an unrelated text or one within a chunk is sent in full") {
     CHECK_FALSE(ChangeBetween(before, {2, before.substr(0, 100)}).has_value());
     CHECK_FALSE(ChangeBetween(before, {2, text(4000, 9000)}).has_value());
     CHECK_FALSE(ChangeBetween("", {2, before}).has_value());
   }
 }
 
-// Symptom: two job groups exist and each accepts batches. Sequence: a leader
-// proposes founders, loses its lead before it hears of the commit, the next
-// leader proposes others. Cause: founding anew what was founded.
+// Guards against two job groups that both accept batches. A leader proposes
+// founders and loses the lead before it learns of the commit; the next leader
+// proposes others.
 TEST_CASE("the job group is founded once") {
   CoordinationState state;
   const auto found = [](consensus::MemberId id) {
@@ -117,10 +117,10 @@
   CHECK(state.job_founders().Find(2) == nullptr);
 }
 
-// Symptom: a fleet with three stores that bears two losses refuses every batch.
-// Sequence: the leader waits for five stores, and there are three. Cause: no
-// bound on that wait.
-TEST_CASE("the job group is founded by the stores that are there") {
+// Guards against a fleet that refuses every batch. It has three stores but
+// should tolerate two losses, and the leader waits for five stores without a
+// bound.
+TEST_CASE("the job group is founded by the available stores") {
   const auto store = [](const std::string& name, const std::string& zone) {
     NodeReport report;
     report.name = name;
@@ -132,25 +132,25 @@
   };
   const std::vector<NodeReport> stores = {store("s1", "a"), store("s2", "a"),
                                           store("s3", "b")};
-  SECTION("as many as wanted, spread over zones") {
+  SECTION("as many as wanted, from different zones") {
     const auto founders = ChooseFounders(stores, 2, false);
     REQUIRE(founders->members.size() == 2);
     CHECK(founders->members[0].address == "s1:1");
     CHECK(founders->members[1].address == "s3:1");
   }
-  SECTION("fewer only after a wait") {
+  SECTION("by fewer only after a wait") {
     CHECK_FALSE(ChooseFounders(stores, 5, false).has_value());
     CHECK(ChooseFounders(stores, 5, true)->members.size() == 3);
     CHECK_FALSE(ChooseFounders({}, 5, true).has_value());
   }
 }
 
-// Symptom: the configuration is gone after all processes were killed twice.
-// Sequence: all are killed; the settings now name seeds without a disk; these
-// report to the new leader first and get a vote; all are killed again, and half
-// of the voters have forgotten the log. Cause: the leader took "no report from
-// an entry with a disk" for "no entry has a disk".
-TEST_CASE("entries without a disk are no members beside a leader with one") {
+// Guards against the loss of the configuration after two restarts of all
+// processes. After the first one, the settings name seeds without a disk, which
+// report to the new leader first and get a vote; after the second, half of the
+// voters have lost the log. The leader must not conclude from missing reports
+// that no entry has a disk.
+TEST_CASE("entries without a disk do not join a leader that has one") {
   const auto entry = [](const std::string& name, bool durable) {
     NodeReport report;
     report.name = name;
@@ -170,11 +170,10 @@
   CHECK(candidates[0].address == "e3:1");
 }
 
-// Symptom: an entry obeys an old configuration for 3 s after a cut of the core
-// has healed. Sequence: no leader for 4 s, so the gates of the platform's list
-// are asked too; the cut heals just after the members were asked. Cause: the
-// members came again only after all thirty gates.
-TEST_CASE("members are asked in between all other processes") {
+// Guards against an entry that uses an old configuration for 3 s after a
+// network partition has healed. While no leader is known, the thirty gates are
+// queried too, and the members must not have to wait for all of them.
+TEST_CASE("members are tried alternately with other processes") {
   LeaderSearch search;
   search.SetSeeds({"s1:1", "s2:1", "s3:1"});
   CHECK(search.Next() == "s1:1");
@@ -199,24 +198,24 @@
   CHECK(gates_asked.size() == kGates);
 }
 
-// Several parts of a process ask for the leader of one group, and each learns
-// something: what one has found, all go by.
-TEST_CASE("all that ask in a process share what is known of the leader") {
+// All callers in a process search for the leader of one group, and share what
+// each has found.
+TEST_CASE("all callers in a process share the known leader") {
   LeaderSearch search;
   search.SetSeeds({"s1:1"});
   CHECK(search.NextForCall("") == "s1:1");
   search.SetMembers({"m1:1", "m2:1", "m3:1"});
   search.SetOthers({"g1:1", "g2:1"});
 
-  SECTION("while it is not known") {
-    SECTION("calls go round the members only") {
+  SECTION("while no leader is known") {
+    SECTION("calls try only members") {
       std::set<std::string> asked;
       for (int i = 0; i < 3; ++i) {
         asked.insert(search.NextForCall(""));
       }
       CHECK(asked == std::set<std::string>{"m1:1", "m2:1", "m3:1"});
     }
-    SECTION("and not twice in a row to the one that did not answer") {
+    SECTION("calls do not repeat the member that did not answer") {
       std::string last;
       for (int i = 0; i < 7; ++i) {
         const std::string next = search.NextForCall(last);
@@ -224,31 +223,31 @@
         last = next;
       }
     }
-    SECTION("a member's word is taken") {
+    SECTION("a member's hint is used") {
       search.Refused("m1:1", "m2:1");
       CHECK(search.leader() == "m2:1");
     }
-    SECTION("but not that of one that names itself and refuses") {
+    SECTION("a hint to the refusing member itself is ignored") {
       search.Refused("m1:1", "m1:1");
       CHECK(search.leader().empty());
     }
   }
-  SECTION("once it has answered") {
+  SECTION("once the leader has answered") {
     search.Found("m3:1");
     CHECK(search.Next() == "m3:1");
     CHECK(search.NextForCall("") == "m3:1");
-    SECTION("a call that it failed goes to another member") {
+    SECTION("a call that failed there goes to another member") {
       CHECK(search.NextForCall("m3:1") != "m3:1");
     }
-    SECTION("a member that names another does not change that") {
+    SECTION("another member's hint does not replace it") {
       search.Refused("m1:1", "m2:1");
       CHECK(search.leader() == "m3:1");
     }
-    SECTION("its own word does") {
+    SECTION("its own hint does") {
       search.Refused("m3:1", "m2:1");
       CHECK(search.leader() == "m2:1");
     }
-    SECTION("silence of another says nothing of it") {
+    SECTION("a failure of another member does not affect it") {
       search.Lost("m1:1");
       CHECK(search.leader() == "m3:1");
       search.Lost("m3:1");
@@ -257,11 +256,11 @@
   }
 }
 
-// Symptom: an entry says that it is ready and refuses everybody: "no replica of
-// the service is known". Sequence: all processes were killed; a new leader
-// answers with the configuration before it has read the platform's list. Cause:
-// the age it sends in place of one was taken for an age.
-TEST_CASE("a list that the leader has not read is not known") {
+// Guards against an entry that reports ready but refuses all requests because
+// it knows no replica. After a restart of all processes, a new leader replies
+// before it has read the platform's list, and kEnginesNeverRead was taken for
+// an age.
+TEST_CASE("replicas are unknown until the leader has read the list") {
   asio::io_context context;
   transport::PeerDispatch dispatch;
   transport::PeerServer* server = nullptr;
@@ -271,7 +270,7 @@
   int answered = 0;
   dispatch.On("/coordination/watch",
               [&](transport::StreamId stream, const std::string&) {
-                // The next answer waits for news that do not come.
+                // The next reply waits for changes that do not come.
                 if (++answered > 1) {
                   return;
                 }
@@ -295,24 +294,24 @@
     }
     REQUIRE(watch.knowledge().config_version == 7);
   };
-  SECTION("though the configuration is") {
+  SECTION("although the configuration is known") {
     learn();
     CHECK(watch.knowledge().engines_seen == Time{});
   }
-  SECTION("one that it has read is") {
+  SECTION("a list that was read is known") {
     age_ms = 30;
     learn();
     CHECK(watch.knowledge().engines_seen != Time{});
   }
 }
 
-TEST_CASE("a table of who is there") {
+TEST_CASE("the node table tracks the processes that report") {
   NodeTable table;
   table.Clear(At(0));
   CHECK(table.Take(Gate("g1"), At(10)));
   CHECK_FALSE(table.Take(Gate("g1"), At(20)));
   CHECK(table.ChangesFor(NodeRole::kEntry, 0).set.size() == 1);
-  // A store may own engines that no gate stands beside.
+  // A store may own engines that have no gate.
   CHECK(table.ChangesFor(NodeRole::kStore, 0).set.size() == 1);
   CHECK(table.ChangesFor(NodeRole::kGate, 0).set.empty());
   SECTION("a silent process is dropped") {
@@ -321,10 +320,10 @@
     CHECK(table.Find("g1") == nullptr);
     CHECK(table.revision() > revision);
   }
-  // Symptom: an engine stands idle for seconds after its gate was lost.
-  // Sequence: the gate's VM loses power; its report of a moment ago still
-  // counts. Cause: others learn of it only when it is dropped, which is late
-  // enough for a member of a group that freezes to keep its place.
+  // Guards against an engine that is idle for seconds after its gate was lost
+  // in a power failure. Other processes took over only when the gate was
+  // dropped, and that is late so that a frozen member keeps its place in its
+  // group.
   SECTION("a silent process owns no engines before it is dropped") {
     table.DropSilent(At(2100));
     CHECK_FALSE(table.Find("g1")->away);
@@ -334,12 +333,12 @@
     CHECK(table.Find("g1")->away);
     CHECK(table.ChangedFor(NodeRole::kEntry, revision));
     CHECK(table.ChangedFor(NodeRole::kStore, revision));
-    SECTION("and again once it reports") {
+    SECTION("and may own engines again once it reports") {
       CHECK(table.Take(Gate("g1"), At(2400)));
       CHECK_FALSE(table.Find("g1")->away);
     }
   }
-  SECTION("entries know of each other only where they may own engines") {
+  SECTION("entries see each other only if they may own engines") {
     NodeReport entry;
     entry.name = "e1";
     entry.role = static_cast<std::uint8_t>(NodeRole::kEntry);
@@ -358,7 +357,7 @@
     CHECK(changes.set[0].name == "g1");
     CHECK(changes.set[1].name == "s1");
   }
-  SECTION("being settled is news") {
+  SECTION("becoming settled changes the revision") {
     table.Take(Gate("g1"), At(2400));
     const auto revision = table.revision();
     table.DropSilent(At(2400));
@@ -372,9 +371,9 @@
 
 constexpr std::size_t kStateBytes = 1U << 20U;
 
-/// One member that gives its state away, and others that fetch it.
-struct StateGiver {
-  StateGiver() {
+/// A member that serves its state, and its readers.
+struct StateSource {
+  StateSource() {
     this->Listen(0);
     consensus::FoundGroup(this->files, 0, {{{1, "a:1", true}}});
     auto environment =
@@ -401,7 +400,7 @@
         this->dispatch.For(this->server));
     this->server = this->owned.get();
   }
-  /// All connections end; the member itself stays.
+  /// Closes all connections; the member itself keeps running.
   void LoseConnections() {
     const std::uint16_t port = this->owned->port();
     this->owned.reset();
@@ -423,7 +422,7 @@
     REQUIRE(done());
   }
   std::uint64_t Sent() const { return this->owned->Totals().sent_bytes; }
-  /// Whether `fetched` is the whole state of the export of that number.
+  /// Whether `fetched` is the complete export of that number.
   bool IsExport(const std::string& fetched, int number) {
     const std::string end = "s" + std::to_string(number);
     return fetched.size() > kStateBytes && fetched.ends_with(end);
@@ -443,10 +442,10 @@
 
 }  // namespace
 
-// Symptom: a store of 130 MB is killed for its memory when another one joins.
-// Sequence: the newcomer lags behind the log, asks for the whole state, which
-// leaves as one message. Cause: each layer holds a copy of it. It now leaves in
-// parts, which must join to the same bytes.
+// Guards against a store of 130 MB that is killed for its memory when another
+// one joins. The new one lags and requests the complete state; sent as one
+// message, each layer holds a copy of it. The parts must join to the same
+// bytes.
 TEST_CASE("a member's state is fetched in parts") {
   asio::io_context context;
   transport::PeerDispatch dispatch;
@@ -488,11 +487,11 @@
   }
 }
 
-// Symptom: of two members that lag, one fetches the state for ever. Sequence:
-// both fetch the same export; one has its last part. Cause: the export was let
-// go with that, and the other got a new one, from the first byte.
-TEST_CASE("members that fetch a state at once get the same export") {
-  StateGiver giver;
+// Guards against a member that fetches the state forever. Two members fetch the
+// same export; when one had its last part the export was dropped, and the other
+// started again with a new one.
+TEST_CASE("concurrent readers get the same export") {
+  StateSource giver;
   std::string first;
   std::string second;
   bool first_done = false;
@@ -504,8 +503,8 @@
   CHECK(giver.IsExport(first, 1));
   CHECK((first == second));
   CHECK(giver.Sent() < 3 * kStateBytes);
-  // Who had it whole and asks again lags behind it already.
-  SECTION("and a newer one when they ask again") {
+  // A reader that has it completely and asks again lags behind it already.
+  SECTION("and a newer one if they ask again") {
     first_done = false;
     giver.Fetch(first, first_done);
     giver.RunUntil([&] { return first_done; });
@@ -514,15 +513,15 @@
   }
 }
 
-// Symptom: a state never arrives over a link whose connections break now and
-// then, though it is full. Sequence: a connection ends while a part is under
-// way. Cause: the fetch gave up all that it had.
-TEST_CASE("a lost part of a state is asked for again") {
-  StateGiver giver;
+// Guards against a state that never arrives over a link whose connections break
+// now and then. A connection ends while a part is transferred, and the fetch
+// must not discard the parts it has.
+TEST_CASE("a lost part of a state is requested again") {
+  StateSource giver;
   std::string fetched;
   bool done = false;
   giver.Fetch(fetched, done);
-  SECTION("and the rest follows") {
+  SECTION("and the transfer continues") {
     giver.RunUntil([&] { return giver.Sent() > kStateBytes / 2; });
     REQUIRE_FALSE(done);
     giver.LoseConnections();
@@ -531,7 +530,7 @@
     CHECK(giver.IsExport(fetched, 1));
     CHECK(giver.Sent() < kStateBytes);
   }
-  SECTION("a few times, if the member is gone") {
+  SECTION("a limited number of times if the member is gone") {
     giver.RunUntil([&] { return giver.Sent() > kStateBytes / 2; });
     giver.owned.reset();
     giver.RunUntil([&] { return done; });
--- a/src/coordination/tests/groupclient_tests.cpp
+++ b/src/coordination/tests/groupclient_tests.cpp
@@ -19,8 +19,8 @@
 constexpr std::chrono::milliseconds kTryTime{200};
 constexpr std::chrono::milliseconds kTime{600};
 
-/// A group member on the loopback that answers "done" some time after a call
-/// has arrived whole, or never.
+/// A group member on the loopback interface that replies "done" some time after
+/// it received a call completely, or never.
 class Member {
  public:
   Member(asio::io_context& context,
@@ -61,7 +61,7 @@
   transport::PeerServer server;
 };
 
-/// What a call ended with, and after how long.
+/// A call's result and duration.
 struct Outcome {
   ResultCode code = ResultCode::kInternal;
   std::string body;
@@ -85,8 +85,8 @@
   return *outcome;
 }
 
-/// A leader that can be cut off, beside many processes that are no members and
-/// end each call without an answer.
+/// A leader that can be disconnected, and many processes that are not members
+/// and end each call without a reply.
 class Fleet {
  public:
   Fleet()
@@ -138,7 +138,7 @@
 
  private:
   void AnswerUnlessCut(transport::StreamId stream, const std::string& message) {
-    // A leader holds a watch; at this pace the test does not spin.
+    // A leader delays watches; this delay keeps the test from spinning.
     const auto timer = std::make_shared<asio::steady_timer>(
         this->context, std::chrono::milliseconds(20));
     timer->async_wait([this, stream, message, timer](std::error_code) {
@@ -164,12 +164,11 @@
 
 }  // namespace
 
-// Symptom: a change of the configuration of 400 KB is acknowledged only after
-// half a minute, on a link that is full all that time. Sequence: the body is
-// longer under way than one attempt may take; the attempt is cancelled and the
-// whole body goes to the next member, and so on. Cause: the time of an attempt
-// did not depend on how much it has to carry.
-TEST_CASE("a large body is not sent again while it may still be under way") {
+// Guards against a configuration change of 400 KB that is acknowledged only
+// after half a minute while the link is full. The transfer takes longer than
+// the timeout of one attempt, which did not depend on the size, so each attempt
+// was cancelled and the full body sent to the next member.
+TEST_CASE("a large body is not sent again during its transfer") {
   constexpr std::size_t kBodyBytes = 400'000;
   constexpr std::chrono::milliseconds kLate{400};
   asio::io_context context;
@@ -181,7 +180,7 @@
   GroupClient client(context, peers, search);
   const std::string body(kBodyBytes, 'c');
 
-  SECTION("when its answer comes later than a small one's may") {
+  SECTION("if the reply takes longer than the timeout of a small one") {
     const Outcome outcome =
         CallAndRun(context, client, body, kTime + TimeToCarry(body.size()));
     CHECK(outcome.code == ResultCode::kOk);
@@ -189,7 +188,7 @@
     CHECK(first.bytes_received == std::vector<std::size_t>{kBodyBytes});
     CHECK(second.bytes_received == std::vector<std::size_t>{});
   }
-  SECTION("though never for longer than the whole call") {
+  SECTION("but the call's total time is not exceeded") {
     constexpr std::chrono::milliseconds kShort{250};
     const Outcome outcome = CallAndRun(context, client, body, kShort);
     CHECK(outcome.code == ResultCode::kNoQuorum);
@@ -198,7 +197,7 @@
   }
 }
 
-TEST_CASE("a small body goes to the next member after one attempt's time") {
+TEST_CASE("a small body goes to the next member after one timeout") {
   constexpr std::size_t kBodyBytes = 100;
   asio::io_context context;
   Member silent(context, std::nullopt);
@@ -217,12 +216,11 @@
   CHECK(second.bytes_received == std::vector<std::size_t>{kBodyBytes});
 }
 
-// Operators' calls at some entries are refused for 20 s after a split of the
-// members has healed, though the watch of each entry has found the leader
-// within 0.5 s: 18 of 74 calls with "no leader answered in time". A call goes
-// round all addresses that the process knows, gates too, some eight of
-// seventy-five in the time that it has, and does not ask the watch.
-TEST_CASE("a call goes to the leader that the watch beside it has found") {
+// Guards against operators' calls that entries refuse for 20 s after a
+// partition of the members has healed, although the entry's watch finds the
+// leader within 0.5 s. Calls searched on their own through all known addresses,
+// gates too, of which they reach some eight of seventy-five in their time.
+TEST_CASE("a call goes to the leader that the watch has found") {
   Fleet fleet;
   FleetWatch watch(fleet.context, fleet.peers, {}, {fleet.LeaderAddress()},
                    [](const FleetChange&) {});
--- a/src/coordination/tests/groupfaults_tests.cpp
+++ b/src/coordination/tests/groupfaults_tests.cpp
@@ -11,15 +11,16 @@
 namespace {
 
 constexpr std::size_t kLargeBytes = 400'000;
-/// A follower learns with the next heartbeat, 0.1 s later at most, that an
-/// entry is committed, and looks again after 60 ms when it was told sooner.
+/// A follower learns with the next heartbeat, after 0.1 s at most, that an
+/// entry is committed, and retries after 60 ms if it was offered the text
+/// sooner.
 constexpr milliseconds kReadFromLog{250};
-/// A new leader's table of processes is settled by then, which is news for all.
+/// By then a new leader's table of processes is settled, which it sends to all.
 constexpr milliseconds kSettled{2600};
-/// A member that was sent to another asks its leader by then.
+/// By then a member that was referred to the leader has reported to it.
 constexpr milliseconds kReported{1000};
 
-/// A group with its members and entries that are no members, all on one loop.
+/// The members of a group, and entries that are not members, on one loop.
 class Group {
  public:
   Group(asio::io_context& context, int size, int entries = 0)
@@ -34,7 +35,7 @@
     }
   }
 
-  /// The members listen already; now they begin to talk.
+  /// Founds the group; the members listen already.
   void Start() {
     const std::vector<std::string> seeds = this->Addresses();
     for (Member& member : this->members) {
@@ -63,8 +64,9 @@
     RunFor(this->context, kReported);
   }
 
-  /// All members report something else, and so ask their leader at once.
-  void AskAnew() {
+  /// Changes all members' reports, so that they send a watch to the leader at
+  /// once.
+  void ResendWatch() {
     for (FleetWatch& watch : this->watches) {
       watch.SetJobMembers({"other"}, 1);
     }
@@ -89,7 +91,7 @@
 
   Member& Leader() { return *this->Find(); }
 
-  /// Bytes of log entries and all else that the leader sent its followers.
+  /// Bytes of group messages that the leader has sent its followers.
   std::uint64_t BytesToFollowers() {
     const transport::TransportTotals totals =
         this->Leader().host.peers.Totals();
@@ -112,7 +114,7 @@
   consensus::MemberList list;
 };
 
-/// Asks a leader as an entry does, and never fetches what it is offered.
+/// Watches a leader as an entry does, but never fetches the text it is offered.
 class IdleEntry {
  public:
   IdleEntry(Host& host, Endpoint leader, const std::string& name)
@@ -150,12 +152,11 @@
 
 }  // namespace
 
-// Six members with a text of 0.9 MB in their logs obeyed it 0.1 to 0.6 s after
-// the leader, and nobody could fetch from them until then: "source given" to
-// the leader itself and two entries at 0 ms, to the members at 383 to 515 ms.
-// Two entries fetched from the leader, as many as it serves at a time; the next
-// in turn found no source, and none behind that was looked at, members neither.
-TEST_CASE("members read their own logs while others wait for a source") {
+// Guards against members that apply a large text (0.9 MB) up to 0.6 s after the
+// leader although it is in their logs. Two entries fetch from the leader, its
+// limit; the next watcher found no source, and the leader then checked none of
+// the watchers behind it, not even members, which need no source.
+TEST_CASE("members read their own logs while entries wait for a source") {
   asio::io_context context;
   constexpr int kMembers = 3;
   Group group(context, kMembers);
@@ -167,12 +168,12 @@
     entries.emplace_back(host, leader, name);
   }
   RunFor(context, kSettled);
-  // The leader looks at those first who asked first: the idle entries have
-  // just asked, and the members ask behind them.
+  // The leader serves watchers in the order of their requests: the idle entries
+  // have just sent theirs, and the members send theirs after them.
   const int before = entries.back().answers;
   RunUntil(
       context, [&] { return entries.back().answers > before; }, kElected);
-  group.AskAnew();
+  group.ResendWatch();
   RunFor(context, milliseconds(50));
   const std::string large = Text(kLargeBytes, 1);
   transport::CallHandlers unheard;
@@ -190,12 +191,11 @@
   CHECK(taken <= kReadFromLog);
 }
 
-// A small change of a configuration of 0.9 MB was acknowledged after 1.5 s and
-// obeyed everywhere 1.9 s after that, on a day without any fault: "leader's
-// link: 9.1 MB in one second, peer_backlog /group/0/message 4,950,560 bytes
-// unsent". Each change put the whole text into the log, so five followers got
-// 0.9 MB each, and the chunks of the change before waited behind that.
-TEST_CASE("a change costs the followers what it changes") {
+// Guards against a small change of a configuration of 0.9 MB that is
+// acknowledged after 1.5 s and applied everywhere 1.9 s later. The log entry
+// held the full text, so each of five followers was sent 0.9 MB, and the chunks
+// of the change before were queued behind that.
+TEST_CASE("a change sends followers only what changed") {
   asio::io_context context;
   constexpr int kMembers = 3;
   Group group(context, kMembers);
@@ -223,7 +223,7 @@
     CHECK(group.BytesToFollowers() - before <=
           (kMembers - 1) * (kMore + kLargeBytes / 10));
   }
-  SECTION("and two sent at once are both right, the later in force") {
+  SECTION("and two submitted at once are applied in order") {
     const std::string second = first + Text(kLargeBytes / 5, 3);
     const std::string third = second.substr(kLargeBytes / 4);
     SubmitAtOnce(context, group.Leader().host, {{2, second}, {3, third}});
@@ -235,12 +235,10 @@
   }
 }
 
-// Two entries sent requests by version 3 2.8 s after version 6 had been
-// acknowledged; on another day the last entry obeyed 1.9 s after, with nothing
-// wrong but the size of the text. A quorum of the members had it in their logs,
-// which is what the acknowledgement said; when the others obey it was tied to
-// nothing.
-TEST_CASE("what is acknowledged is in force at the entries") {
+// Guards against entries that use an older configuration for seconds after a
+// newer one was acknowledged. An acknowledgement only meant that a quorum of
+// the members had it in their logs.
+TEST_CASE("entries have applied what is acknowledged") {
   asio::io_context context;
   constexpr int kMembers = 3;
   constexpr int kEntries = 12;
@@ -253,12 +251,12 @@
     const std::string large = Text(kLargeBytes, 1);
     Submit(context, group.Leader().host, 2, large);
     CHECK(group.CountHolding(2, large) == kMembers + kEntries);
-    SECTION("and again when it is sent anew") {
+    SECTION("also if it is submitted again") {
       Submit(context, group.Leader().host, 2, large);
       CHECK(group.CountHolding(2, large) == kMembers + kEntries);
     }
   }
-  SECTION("also where some stand still once they were told where to fetch") {
+  SECTION("also if some entries stall once they have a source") {
     Host host(context);
     const Endpoint leader{"127.0.0.1", group.Leader().host.owned.port()};
     std::list<IdleEntry> idle;
--- a/src/coordination/tests/groupmembers.h
+++ b/src/coordination/tests/groupmembers.h
@@ -17,12 +17,12 @@
 #include "global/timepoint.h"
 #include "storage/memoryfilesystem.h"
 
-/// Members of a coordination group and processes beside them, all on one loop.
+/// Members of a coordination group and other processes, all on one loop.
 namespace papayarack::coordination {
 
 using std::chrono::milliseconds;
 
-/// Within which a change is to be in force after its acknowledgement.
+/// Time within which a change must be in force after its acknowledgement.
 constexpr milliseconds kInForce{2000};
 constexpr milliseconds kElected{3000};
 
@@ -44,7 +44,7 @@
   return report;
 }
 
-/// What a process has to be reached by others and to call them.
+/// A process's server and client for calls between processes.
 struct Host {
   explicit Host(asio::io_context& context)
       : owned(context, {"127.0.0.1", 0}, this->dispatch.For(this->server)),
@@ -118,8 +118,8 @@
       context, [] { return false; }, time);
 }
 
-/// Sends the configurations one right after the other, and waits for their
-/// answers.
+/// Sends the configurations without waiting between them, then waits for all
+/// replies.
 inline void SubmitAtOnce(asio::io_context& context, Host& to,
                          const std::vector<SubmitConfiguration>& all) {
   std::size_t ended = 0;
--- a/src/coordination/tests/jobmembers_tests.cpp
+++ b/src/coordination/tests/jobmembers_tests.cpp
@@ -21,7 +21,8 @@
   return nodes;
 }
 
-/// Asks until the leader is found; members name it, other stores know nothing.
+/// Counts calls until the leader is found; members name it, other stores know
+/// nothing.
 std::size_t AsksUntilFound(LeaderSearch& search,
                            const std::vector<std::string>& members,
                            const std::string& leader) {
@@ -38,11 +39,11 @@
 
 }  // namespace
 
-// Symptom: in a fleet of 45 stores some batches are accepted five seconds late,
-// or refused. Sequence: an entry that has not called the job group yet asks one
-// store after the other, with longer and longer pauses, and gives up after
-// 1.3 s. Cause: 40 of them are not members, and cannot say who is.
-TEST_CASE("a caller that knows no leader of the job group") {
+// Guards against batches that are accepted five seconds late, or refused, in a
+// fleet of 45 stores. An entry without a known leader of the job group tries
+// the stores in turn, with growing pauses, and stops after 1.3 s; 40 of them
+// are not members and cannot name one.
+TEST_CASE("a caller finds the leader of the job group") {
   std::vector<NodeReport> nodes = MakeStores();
   NodeReport& first = nodes[11];
   first.job_term = 1;
@@ -50,12 +51,12 @@
     first.job_members.push_back(nodes[i].address);
   }
   const std::vector<std::string> members = first.job_members;
-  SECTION("finds it at once where the last one still leads") {
+  SECTION("at once if the last known one still leads") {
     LeaderSearch search;
     search.SetMembers(JobCallOrder(nodes));
     CHECK(AsksUntilFound(search, members, first.address) == 1);
   }
-  SECTION("finds another one with few asks, wherever it stands in its round") {
+  SECTION("with few calls, from any position in the order") {
     for (std::size_t rounds = 0; rounds < 2 * kStores; ++rounds) {
       LeaderSearch search;
       search.SetMembers(JobCallOrder(nodes));
@@ -65,24 +66,24 @@
       CHECK(AsksUntilFound(search, members, nodes[17].address) <= 3);
     }
   }
-  SECTION("believes the newest word") {
+  SECTION("by the report with the highest term") {
     nodes[30].job_term = 2;
     nodes[30].job_members = {nodes[30].address, nodes[13].address};
     CHECK(NewestJobLeader(nodes) == &nodes[30]);
     CHECK(JobCallOrder(nodes).front() == nodes[30].address);
   }
-  SECTION("reaches every store, for a group that has moved since") {
+  SECTION("with every store in the order, as members may change") {
     const std::vector<std::string> order = JobCallOrder(nodes);
     for (const NodeReport& node : nodes) {
       CHECK(std::ranges::find(order, node.address) != order.end());
     }
   }
-  SECTION("asks all stores in turn before any has spoken") {
+  SECTION("among all stores before any has reported members") {
     first.job_members.clear();
     CHECK(JobCallOrder(nodes).size() == kStores);
     CHECK(NewestJobLeader(nodes) == nullptr);
   }
-  SECTION("asks the members alone where there are no other stores") {
+  SECTION("among the members if there are no other stores") {
     std::vector<NodeReport> few = {first};
     few.front().job_members = {first.address};
     CHECK(JobCallOrder(few) == std::vector<std::string>{first.address});
--- a/src/coordination/tests/largeconfiguration_tests.cpp
+++ b/src/coordination/tests/largeconfiguration_tests.cpp
@@ -23,10 +23,10 @@
 
 using std::chrono::milliseconds;
 
-/// 48 texts of 400 KB are 19 MB, nearly 5 s of the link: three times what a
-/// watch waits for an answer.
+/// 48 texts of 400 KB are 19 MB, nearly 5 s of the link: three times the
+/// timeout of a watch.
 constexpr std::size_t kProcesses = 48;
-/// A third of a VM's 100 Mbit/s, as there is a third of a fleet of 130.
+/// A third of a VM's 100 Mbit/s, for a third of a fleet of 130.
 constexpr std::uint64_t kLinkBytesPerSecond = 4'000'000;
 constexpr std::size_t kFewRoutes = 10;
 /// About 300 bytes each, 400 KB in all.
@@ -34,24 +34,24 @@
 constexpr std::uint32_t kTextSeed = 20261202;
 constexpr std::size_t kReplicas = 40;
 
-/// Less than half of the 9 s within which a change is promised to be in force.
+/// Less than half of the 9 s within which a change must be in force.
 constexpr milliseconds kLargeInForce{4000};
 /// A few bytes that differ need a few messages.
 constexpr milliseconds kSmallChangeInForce{2000};
 /// A replica drains for 3 s; the list is read each 0.5 s.
 constexpr milliseconds kReplicasKnown{2500};
-/// Each process needs the text once, from whichever process has it; the leader
-/// gives it to a few.
-constexpr std::uint64_t kMostTextsFromLeader = 6;
-/// A new leader's table of processes is settled, and told to all, after 2.5 s;
-/// that is not to be counted with a small change.
+/// Each process needs the text once, from any source; the leader serves only a
+/// few.
+constexpr std::uint64_t kMaxTextsFromLeader = 6;
+/// After 2.5 s a new leader's table of processes is settled and sent to all,
+/// which must not be counted with a small change.
 constexpr milliseconds kSettled{3000};
-/// Beyond its bound a spread is watched for so long, to tell late from never.
+/// Observation time beyond the bound, to distinguish late from never.
 constexpr milliseconds kWatched{6500};
 constexpr milliseconds kStarted{5000};
 constexpr milliseconds kSlice{5};
 
-/// Random, so that the text hardly compresses.
+/// Random, so that the text is hardly compressible.
 std::string HexName(std::mt19937& random) {
   return fmt::format("{:08x}{:08x}", random(), random());
 }
@@ -92,7 +92,7 @@
   return replicas;
 }
 
-/// One process that watches, with what it has for others to reach it.
+/// A process with a watch, and its server and client.
 struct Process {
   Process(asio::io_context& context, std::size_t number,
           const std::string& seed)
@@ -105,7 +105,7 @@
     this->watch.Start();
   }
 
-  /// Entries without a disk and gates are no members of a group; stores found
+  /// Entries without a disk and gates are not members of a group; stores found
   /// the job group.
   NodeReport Report(std::size_t number) const {
     constexpr std::array kRoles = {NodeRole::kGate, NodeRole::kEntry,
@@ -128,7 +128,7 @@
   FleetWatch watch;
 };
 
-/// A leader behind its VM's link, and the processes that watch it.
+/// A leader behind its VM's limited link, and the processes that watch it.
 class Fleet {
  public:
   Fleet()
@@ -157,7 +157,8 @@
     }
   }
 
-  /// Runs until `done` holds or `limit` is over; the time that it took.
+  /// Runs until `done` returns true or `limit` has passed. Returns the elapsed
+  /// time.
   milliseconds RunUntil(const std::function<bool()>& done, milliseconds limit) {
     const Time start = MonotonicNow();
     const auto passed = [start] {
@@ -174,7 +175,7 @@
     this->RunUntil([] { return false; }, time);
   }
 
-  /// Submits at the leader itself, not over the link, and waits for the
+  /// Submits directly to the leader, not over the link, and waits for the
   /// acknowledgement.
   void Submit(std::uint64_t version, const std::string& text) {
     auto code = static_cast<int>(ResultCode::kNotReady);
@@ -203,7 +204,7 @@
         [&](const FleetKnowledge& known) { return known.engines == list; });
   }
 
-  /// A leader is there, and a small configuration is in force.
+  /// Waits for a leader, and until a small configuration is in force.
   void StartWith(const std::string& text) {
     this->RunUntil([this] { return this->leader->Leads(); }, kStarted);
     REQUIRE(this->leader->Leads());
@@ -250,16 +251,14 @@
 
 }  // namespace
 
-// A configuration with 1400 routes more, 400 KB of text, was submitted to a
-// fleet of 130 processes. The leader's 100 Mbit/s link was full for 30 s, the
-// change was acknowledged only after 30.2 s, the leader reached its limit of 88
-// MB and was killed, and until then every process obeyed the old configuration
-// and gates sent requests to replicas that drained. The leader put the whole
-// text into each answer to a watch, 52 MB in all through a link of 12 MB a
-// second. A watch waits 1.6 s for its answer, then cancels the call and asks
-// again, and the next answer began with the text's first byte; so no answer
-// ever arrived whole, and the list of replicas travels in the same answers.
-TEST_CASE("a large configuration reaches a fleet through the leader's link") {
+// Guards against a large configuration that fills the leader's link. 1400 more
+// routes (400 KB) in a fleet of 130 processes kept a link of 100 Mbit/s full
+// for 30 s. The change was acknowledged after 30.2 s, the leader exceeded its
+// memory limit of 88 MB, and processes kept an outdated configuration and list
+// of replicas. The leader put the full text into each reply to a watch, 52 MB
+// in all over 12 MB/s. A watch times out after 1.6 s and is sent again, and the
+// next reply started from the first byte, so none arrived.
+TEST_CASE("a large configuration spreads despite the leader's link limit") {
   const std::string small = RoutesText(kFewRoutes);
   const std::string large = RoutesText(kManyRoutes);
   REQUIRE(large.size() > 400'000);
@@ -267,16 +266,16 @@
   Fleet fleet;
   fleet.StartWith(small);
 
-  SECTION("everyone holds it soon, and the link carries it a few times") {
+  SECTION("all processes get it soon, few of them over that link") {
     std::uint64_t before = fleet.BytesCarried();
     fleet.Submit(2, large);
     const milliseconds taken = fleet.RunUntil(
         [&] { return fleet.CountHolding(2, large) == kProcesses; }, kWatched);
     CHECK(fleet.CountHolding(2, large) == kProcesses);
     CHECK(taken.count() <= kLargeInForce.count());
-    CHECK(fleet.BytesCarried() - before <= kMostTextsFromLeader * large.size());
+    CHECK(fleet.BytesCarried() - before <= kMaxTextsFromLeader * large.size());
 
-    SECTION("then a change of a few bytes costs less than the text once") {
+    SECTION("then a small change sends less than one full text") {
       const std::string changed = WithOtherMiddle(large);
       fleet.RunFor(kSettled);
       before = fleet.BytesCarried();
@@ -289,7 +288,7 @@
     }
   }
 
-  SECTION("replicas that begin to drain meanwhile are known in time") {
+  SECTION("replicas that start draining meanwhile are known in time") {
     fleet.Submit(2, large);
     const std::vector<EngineInstance> draining = Replicas(true);
     fleet.SetReplicas(draining);
--- a/src/coordination/tests/linkrelay.cpp
+++ b/src/coordination/tests/linkrelay.cpp
@@ -6,17 +6,18 @@
 namespace papayarack::coordination {
 namespace {
 
-/// What a connection may keep in the relay. Reading from the target stops
-/// there, so that the sender feels the link.
-constexpr std::size_t kMostWaiting = 64U << 10U;
-/// Asked of the kernel for the sockets too, as its own choice of some MB would
-/// hide the link from the sender.
+/// Most bytes buffered for a connection. Reading from the target stops there,
+/// so that backpressure reaches the sender.
+constexpr std::size_t kMaxBuffered = 64U << 10U;
+/// Buffer size of the sockets too: the kernel's default of some MB would hide
+/// the limit from the sender.
 constexpr int kSocketBuffer = 64 << 10;
-/// Sent of one connection before the next has its turn: about three packets.
-constexpr std::size_t kTurn = 4096;
-constexpr std::chrono::milliseconds kEarnEvery{5};
-/// Allowance that may gather while the link is idle or the loop is late.
-constexpr std::chrono::milliseconds kMostEarned{50};
+/// Bytes sent of one connection before the next one's turn: about three
+/// packets.
+constexpr std::size_t kQuantum = 4096;
+constexpr std::chrono::milliseconds kRefillInterval{5};
+/// Tokens that may accumulate while the link is idle or the loop is late.
+constexpr std::chrono::milliseconds kMaxBurst{50};
 
 }  // namespace
 
@@ -28,7 +29,7 @@
       acceptor(context, {asio::ip::make_address("127.0.0.1"), 0}),
       timer(context) {
   this->Accept();
-  this->Earn();
+  this->RefillTokens();
 }
 
 std::string LinkRelay::Address() const {
@@ -84,7 +85,7 @@
   if (connection == nullptr) {
     return;
   }
-  connection->to_target.resize(kMostWaiting);
+  connection->to_target.resize(kMaxBuffered);
   connection->caller.async_read_some(
       asio::buffer(connection->to_target),
       [this, id](std::error_code error, std::size_t count) {
@@ -113,11 +114,11 @@
   }
   const std::size_t held =
       connection->waiting.size() + connection->leaving.size();
-  if (held >= kMostWaiting) {
+  if (held >= kMaxBuffered) {
     return;
   }
   connection->reading = true;
-  connection->incoming.resize(kMostWaiting - held);
+  connection->incoming.resize(kMaxBuffered - held);
   connection->target.async_read_some(
       asio::buffer(connection->incoming),
       [this, id](std::error_code error, std::size_t count) {
@@ -133,35 +134,35 @@
           this->connections.erase(id);
           return;
         }
-        this->Spend();
+        this->SendQueued();
         this->ReadTarget(id);
       });
 }
 
-void LinkRelay::Earn() {
+void LinkRelay::RefillTokens() {
   const Time now = MonotonicNow();
-  const auto most = static_cast<Duration>(kMostEarned);
-  const auto since = std::min(now - this->earned_at, most);
-  this->earned_at = now;
+  const auto most = static_cast<Duration>(kMaxBurst);
+  const auto since = std::min(now - this->refilled_at, most);
+  this->refilled_at = now;
   const auto share = [this](Duration time) {
     return this->bytes_per_second * static_cast<std::uint64_t>(time.count()) /
            std::micro::den;
   };
   this->tokens = std::min(this->tokens + share(since), share(most));
-  this->Spend();
-  this->timer.expires_after(kEarnEvery);
+  this->SendQueued();
+  this->timer.expires_after(kRefillInterval);
   this->timer.async_wait([this](std::error_code error) {
     if (!error) {
-      this->Earn();
+      this->RefillTokens();
     }
   });
 }
 
-/// Round robin, from the connection after the one that was served last. One
-/// whose write is under way has its next turn when that is done.
-void LinkRelay::Spend() {
+/// Round robin, from the connection after the one served last. Skips
+/// connections with a pending write.
+void LinkRelay::SendQueued() {
   std::size_t passed = 0;
-  while (this->tokens >= kTurn && passed < this->connections.size()) {
+  while (this->tokens >= kQuantum && passed < this->connections.size()) {
     auto next = this->connections.upper_bound(this->last_served);
     if (next == this->connections.end()) {
       next = this->connections.begin();
@@ -176,7 +177,7 @@
   if (connection.waiting.empty() || !connection.leaving.empty()) {
     return false;
   }
-  const std::size_t count = std::min(connection.waiting.size(), kTurn);
+  const std::size_t count = std::min(connection.waiting.size(), kQuantum);
   connection.leaving.assign(connection.waiting, 0, count);
   connection.waiting.erase(0, count);
   this->tokens -= count;
@@ -203,7 +204,7 @@
     return;
   }
   this->ReadTarget(id);
-  this->Spend();
+  this->SendQueued();
 }
 
 }  // namespace papayarack::coordination
--- a/src/coordination/tests/linkrelay.h
+++ b/src/coordination/tests/linkrelay.h
@@ -13,11 +13,11 @@
 
 namespace papayarack::coordination {
 
-/// Stand-in for the bounded network link of a VM: callers connect here and
-/// reach the target. What the target sends to all of them together is limited
-/// to so many bytes a second and shared fairly; what they send is not limited.
-/// Thread safety: none, the loop's thread. Precondition: the loop outlives the
-/// relay and does not run once the relay is gone.
+/// Simulates the limited network link of a VM: callers connect here and are
+/// forwarded to the target. The bytes per second from the target to all callers
+/// are limited and shared fairly; the other direction is not limited. Thread
+/// safety: none, the loop's thread. Precondition: the loop outlives the relay
+/// and does not run once the relay is destroyed.
 class LinkRelay {
  public:
   LinkRelay(asio::io_context& context, const Endpoint& target,
@@ -26,7 +26,7 @@
   LinkRelay& operator=(const LinkRelay&) = delete;
 
   std::string Address() const;
-  /// From the target to all callers since the start.
+  /// Bytes from the target to all callers since the start.
   std::uint64_t BytesCarried() const { return this->carried; }
 
  private:
@@ -38,9 +38,9 @@
     asio::ip::tcp::socket caller;
     asio::ip::tcp::socket target;
     std::string to_target;  ///< One read at a time, written before the next.
-    std::string incoming;   ///< Room for the read from the target under way.
-    std::string waiting;    ///< From the target, not sent yet.
-    std::string leaving;    ///< The write to the caller under way.
+    std::string incoming;   ///< Buffer of the pending read from the target.
+    std::string waiting;    ///< Queued bytes from the target.
+    std::string leaving;    ///< Buffer of the pending write to the caller.
     bool reading = false;
     bool target_ended = false;
   };
@@ -49,8 +49,8 @@
   void Adopt(asio::ip::tcp::socket caller);
   void ReadCaller(ConnectionId id);
   void ReadTarget(ConnectionId id);
-  void Earn();
-  void Spend();
+  void RefillTokens();
+  void SendQueued();
   bool SendSome(ConnectionId id);
   void OnSent(ConnectionId id);
   Connection* Find(ConnectionId id);
@@ -63,7 +63,7 @@
   std::map<ConnectionId, std::unique_ptr<Connection>> connections;
   ConnectionId last_connection = 0;
   ConnectionId last_served = 0;
-  Time earned_at = MonotonicNow();
+  Time refilled_at = MonotonicNow();
   std::uint64_t tokens = 0;
   std::uint64_t carried = 0;
 };
--- a/src/coordination/tests/quarantine_tests.cpp
+++ b/src/coordination/tests/quarantine_tests.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
 #include "coordination/crashreports.h"
-#include "coordination/quarantinekeeper.h"
+#include "coordination/quarantinetracker.h"
 
 namespace papayarack::coordination {
 namespace {
@@ -14,16 +14,16 @@
 
 Time At(int ms) { return kStart + milliseconds(ms); }
 
-/// An entry's watch, one call after the other.
+/// An entry's watch requests, one after the other.
 struct Entry {
-  WatchReply Ask(QuarantineKeeper& leader, std::uint64_t leads_term, int ms) {
+  WatchReply Ask(QuarantineTracker& leader, std::uint64_t leads_term, int ms) {
     WatchRequest request;
     request.self.role = static_cast<std::uint8_t>(NodeRole::kEntry);
     request.term = this->term;
     this->reports.AddTo(request, At(ms));
     this->told = request.crashes.size() + request.quarantined.size();
-    leader.Heard(request, At(ms));
-    this->was_news = leader.IsNews(request);
+    leader.OnReport(request, At(ms));
+    this->was_news = leader.NeedsList(request);
     WatchReply reply;
     reply.term = leads_term;
     leader.AddTo(request, reply);
@@ -34,16 +34,17 @@
 
   CrashReports reports;
   std::uint64_t term = 0;
-  std::size_t told = 0;  ///< Reports and names in the last request.
+  /// Crash reports and quarantined requests in the last request.
+  std::size_t told = 0;
   bool was_news = false;
 };
 
 }  // namespace
 
 // Guards against a request that crashes replicas through many entries, each of
-// which has seen too little of it.
-TEST_CASE("what entries report is one count for the fleet") {
-  QuarantineKeeper leader;
+// which sees too few crashes to quarantine it.
+TEST_CASE("crashes that entries report are counted for the whole fleet") {
+  QuarantineTracker leader;
   leader.BeginTerm();
   Entry a;
   Entry b;
@@ -58,7 +59,7 @@
   a.reports.Crashed(kCulprit, "r3", At(300));
   a.Ask(leader, 1, 300);
 
-  SECTION("and every entry is told, also one that saw nothing") {
+  SECTION("and every entry gets the list, also one without crashes") {
     CHECK(a.reports.Quarantined(kCulprit));
     idle.Ask(leader, 1, 301);
     CHECK(idle.was_news);
@@ -66,13 +67,13 @@
     idle.Ask(leader, 1, 302);
     CHECK_FALSE(idle.was_news);
   }
-  SECTION("each report once to each leader") {
+  SECTION("and each report is sent once to each leader") {
     a.Ask(leader, 1, 400);
     CHECK(a.told == 0);
   }
-  SECTION("and a new leader learns all of it") {
+  SECTION("and a new leader learns the quarantined requests") {
     b.Ask(leader, 1, 400);
-    QuarantineKeeper next;
+    QuarantineTracker next;
     next.BeginTerm();
     a.Ask(next, 2, 500);
     CHECK(a.reports.Quarantined(kCulprit));
@@ -83,7 +84,7 @@
     started.Ask(next, 2, 502);
     CHECK(started.reports.Quarantined(kCulprit));
   }
-  SECTION("until one has seen it run to the end") {
+  SECTION("and the quarantine ends once the request completes") {
     b.Ask(leader, 1, 400);
     REQUIRE(b.reports.Quarantined(kCulprit));
     b.reports.Survived(kCulprit, At(500));
@@ -91,19 +92,19 @@
     a.Ask(leader, 1, 501);
     CHECK_FALSE(a.reports.Quarantined(kCulprit));
   }
-  SECTION("and a gate is not troubled with it") {
+  SECTION("and a gate does not get the list") {
     WatchRequest request;
     request.self.role = static_cast<std::uint8_t>(NodeRole::kGate);
     request.quarantine_revision = 1;
-    CHECK_FALSE(leader.IsNews(request));
+    CHECK_FALSE(leader.NeedsList(request));
     WatchReply reply;
     leader.AddTo(request, reply);
     CHECK_FALSE(reply.has_quarantined);
   }
-  SECTION("nor an entry of an earlier release, which would ask without end") {
+  SECTION("and an entry of an earlier release is not answered early") {
     WatchRequest request;
     request.self.role = static_cast<std::uint8_t>(NodeRole::kEntry);
-    CHECK_FALSE(leader.IsNews(request));
+    CHECK_FALSE(leader.NeedsList(request));
   }
 }
 
--- a/src/coordination/tests/routestext.h
+++ b/src/coordination/tests/routestext.h
@@ -7,8 +7,7 @@
 
 namespace papayarack::coordination {
 
-/// Text in the manner of a configuration: one route after the other, of which
-/// no two are alike.
+/// A text like a configuration: a list of routes, all different.
 inline std::string RoutesText(std::size_t bytes, std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::string text;
--- a/src/coordination/tests/spreadfaults_tests.cpp
+++ b/src/coordination/tests/spreadfaults_tests.cpp
@@ -33,7 +33,7 @@
   return replicas;
 }
 
-/// A leader alone in its group.
+/// Starts a leader that is alone in its group.
 std::unique_ptr<Member> Lead(asio::io_context& context, ListEngines list) {
   auto member = std::make_unique<Member>(context, 1);
   member->Found(context, {{{1, member->host.Address(), true}}},
@@ -44,7 +44,7 @@
   return member;
 }
 
-/// Bytes that the process gave others of its text.
+/// Bytes of chunks that the process served.
 std::uint64_t ChunkBytes(const Host& host) {
   const transport::TransportTotals totals = host.owned.Totals();
   const auto found = std::ranges::find(totals.paths, "/coordination/chunks",
@@ -52,8 +52,7 @@
   return found != totals.paths.end() ? found->bytes : 0;
 }
 
-/// Answers one watch with `reply`, as a leader that then loses its lead to
-/// `next`.
+/// Answers one watch with `reply`, then refers callers to the leader `next`.
 void LeadOnce(Host& host, const WatchReply& reply, const std::string& next) {
   const auto answered = std::make_shared<bool>(false);
   host.dispatch.On("/coordination/watch", [&host, reply, next, answered](
@@ -69,12 +68,11 @@
 
 }  // namespace
 
-// Symptom: a process goes on using a replica that drains, without end.
-// Sequence: it has the list of one leader, up to that leader's revision 41;
-// another is elected and answers before it has read the list; then it has read
-// it, and its own revision is 41 too. Cause: the process took over the new term
-// and kept the old revision, so that the two were compared.
-TEST_CASE("a replica that drains across a change of leader is known") {
+// Guards against a process that keeps using a draining replica. It has the list
+// of one leader up to revision 41. The next leader replies before it has read
+// the list, then reads it, and its own revision is 41 too. A process that keeps
+// its old revision with the new term would see no change.
+TEST_CASE("a replica that starts draining as leaders change is known") {
   asio::io_context context;
   const std::vector<EngineInstance> list = Replicas(true);
   constexpr milliseconds kListReadIn{300};
@@ -103,11 +101,11 @@
   CHECK(watch.knowledge().engines == list);
 }
 
-// Symptom: a small change back is in force 8 s after its acknowledgement.
-// Sequence: a process fetches a large version from a slow source, each part
-// just within its time; the operator goes back with a small one. Cause: a
-// process that fetched was told of nothing newer until it had ended.
-TEST_CASE("a small change is not held up by a slow fetch of the one before") {
+// Guards against a small change that is in force only 8 s after its
+// acknowledgement. A process fetches a large version from a slow source, each
+// part just within its timeout, while the operator reverts to a small text. A
+// fetch must not delay newer versions.
+TEST_CASE("a slow fetch of a version does not delay the next one") {
   asio::io_context context;
   const auto leader = Lead(context, NoReplicas());
   const std::string small = Text(3000, 1);
@@ -153,14 +151,14 @@
   RunFor(context, milliseconds(300));
   REQUIRE(watch.knowledge().config_version == 1);
 
-  SECTION("that goes back to a small text") {
+  SECTION("if that is a small text") {
     Submit(context, leader->host, 3, small + "back\n");
     const milliseconds taken = RunUntil(
         context, [&] { return watch.knowledge().config_version == 3; },
         milliseconds(12000));
     CHECK(taken <= kInForce);
   }
-  SECTION("and the large one itself comes from another source soon") {
+  SECTION("and the large text itself comes from another source") {
     const milliseconds taken = RunUntil(
         context, [&] { return watch.knowledge().config_version == 2; },
         milliseconds(12000));
@@ -168,11 +166,11 @@
   }
 }
 
-// Symptom: one process makes the leader answer 7,000 times a second. Sequence:
-// it holds another text under version 5 than the group does, which was founded
-// anew; version 6 differs from the group's in a few chunks, which do not
-// complete what the process holds. Cause: it asked again for the same.
-TEST_CASE("chunks that do not complete a text are not asked for for ever") {
+// Guards against a process that sends the leader 7,000 requests a second. It
+// has another text under version 5 than the group, which was founded again;
+// version 6 differs from the group's by a few chunks, which do not complete the
+// process's text, and it kept requesting the same chunks.
+TEST_CASE("chunks that do not complete a text are not requested again") {
   asio::io_context context;
   const auto leader = Lead(context, NoReplicas());
   const std::string text = Text(100'000, 3);
@@ -196,10 +194,10 @@
   CHECK(replies < 20);
 }
 
-// Symptom: a process obeys an old configuration without end. Sequence: it is
-// sent to a source whose address cannot be read. Cause: the fetch counted as
-// under way before the address was looked at, and nothing ended it.
-TEST_CASE("a source that is no address does not stop a process") {
+// Guards against a process that keeps an old configuration forever because the
+// address of its source cannot be parsed. The fetch counted as running before
+// the address was parsed, and nothing ended it.
+TEST_CASE("an invalid source address does not block a process") {
   asio::io_context context;
   Host leader(context);
   const std::string text = Text(100'000, 3);
@@ -226,11 +224,11 @@
   CHECK(fetching_from.back().empty());
 }
 
-// Symptom: the leader's link carries a large text to every member, though each
-// has it in its log. Sequence: a follower learns with the next heartbeat that
-// the entry is committed; the leader tells it of the version before that, it
-// looks in its own copy, finds nothing, and is sent to the leader. Cause: one
-// failure barred a member's own copy, and the member as a source for others.
+// Guards against a leader that sends a large text to every member although it
+// is in their logs. A follower learns of the commit with the next heartbeat; if
+// the leader offers the text sooner, its own copy still lacks it. One such
+// failure must not make the member fetch from the leader, nor exclude it as a
+// source for others.
 TEST_CASE("members take a large text from their own log") {
   asio::io_context context;
   constexpr int kMembers = 3;
@@ -276,7 +274,7 @@
     RunUntil(context, everywhere, kInForce);
     CHECK(everywhere());
     const auto after = ChunkBytes(leader()->host);
-    // Its own process reads it there too.
+    // The leader's own process reads it there too.
     CHECK(after - before < 3 * kLargeBytes / 2);
   }
 }
