--- a/src/coordination/tests/stalledsources_tests.cpp
+++ b/src/coordination/tests/stalledsources_tests.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/acknowledgementhold.h"
+#include "coordination/acknowledgementqueue.h"
 #include "coordination/transferplan.h"
 #include "global/linkpace.h"
 
@@ -20,24 +20,24 @@
 constexpr const char* kLeader = "leader";
 constexpr std::uint64_t kVersion = 2;
 constexpr std::size_t kTextBytes = 400'000;
-/// Within which a change is to be in force after its acknowledgement.
+/// Time within which a change must be in force after its acknowledgement.
 constexpr milliseconds kInForce{2000};
-/// The latest acknowledgement, which waits for nobody beyond its bound.
+/// The latest time of the acknowledgement, which waits no longer than its
+/// bound.
 constexpr milliseconds kAcknowledged =
-    AcknowledgementHold::kLongest + TimeToCarry(kTextBytes);
+    AcknowledgementQueue::kMaxDelay + TimeToCarry(kTextBytes);
 constexpr milliseconds kStep{20};
-/// As TextFetch: a source that gives no first part, or no further one, for so
-/// long is given up.
+/// As in TextFetch: timeouts of the first part and of each further one.
 constexpr milliseconds kFirstSilence{500};
 constexpr milliseconds kSourceSilence{1500};
-/// As FleetWatch: the pause after a fetch that failed.
+/// As in FleetWatch: the delay after a failed fetch.
 constexpr milliseconds kPause{40};
 constexpr milliseconds kFetch{200};
 constexpr milliseconds kFirstPart{60};
-/// A process without news or need reports so often.
-constexpr milliseconds kReportEvery{1000};
+/// Interval at which a process reports if nothing has changed.
+constexpr milliseconds kReportInterval{1000};
 
-/// What befalls one process, counted from the commit of the version.
+/// A stall of one process, relative to the commit of the version.
 struct Stall {
   std::uint32_t process = 0;
   std::uint32_t begins_ms = 0;
@@ -47,10 +47,10 @@
   out << "{" << stall.process << "," << stall.begins_ms << "}";
 }
 
-/// A fleet after the commit of a large version: a leader, members that read
-/// their own logs, entries, and gates, which stand behind entries in turn. Some
-/// of the processes that are no members stand still from some moment on; their
-/// connections stay open. Time goes in steps.
+/// Simulates a fleet after the commit of a large version, in time steps: a
+/// leader, members that read their own logs, entries, and gates, which are
+/// served after entries. Some of the processes that are not members stall from
+/// some time on; their connections stay open.
 class Fleet {
  public:
   Fleet(int members, int entries, int gates) {
@@ -79,7 +79,7 @@
                                  this->commit + milliseconds(stall.begins_ms));
   }
 
-  /// Entries that do not stand still and lack the version once it has to be in
+  /// Entries that are not stalled and lack the version when it must be in
   /// force.
   std::vector<std::string> LateEntries() {
     while (this->now < this->commit + kAcknowledged + kInForce) {
@@ -87,7 +87,7 @@
     }
     std::vector<std::string> late;
     for (const Process& process : this->processes) {
-      if (process.is_entry && !process.holds && !this->Stands(process)) {
+      if (process.is_entry && !process.holds && !this->IsStalled(process)) {
         late.push_back(process.name);
       }
     }
@@ -117,7 +117,7 @@
   Process& Find(const std::string& name) {
     return *std::ranges::find(this->processes, name, &Process::name);
   }
-  bool Stands(const Process& process) const {
+  bool IsStalled(const Process& process) const {
     return this->now >= process.stalls_at;
   }
 
@@ -129,13 +129,13 @@
     report.held = process.holds ? kVersion : 1;
     report.fetching_from = process.source;
     report.is_member = process.is_member;
-    this->plan.Heard(report, this->now);
+    this->plan.OnReport(report, this->now);
   }
 
   void Step() {
     this->now += kStep;
     for (Process& process : this->processes) {
-      if (!this->Stands(process)) {
+      if (!this->IsStalled(process)) {
         this->Fetch(process);
       }
     }
@@ -149,7 +149,7 @@
     }
   }
 
-  /// The watch of one that stands still is open too: it is given a place.
+  /// The watch of a stalled process is open too, so it gets a slot.
   void Offer(Process& process) {
     if (process.holds || !process.source.empty() ||
         this->now < process.next_ask) {
@@ -165,23 +165,23 @@
   void Fetch(Process& process) {
     const bool news = process.source_since == this->now - kStep;
     if (!process.source.empty() && this->SourceEnded(process)) {
-      process.holds = !this->SourceStands(process);
+      process.holds = !this->SourceStalled(process);
       process.source.clear();
       process.next_ask = this->now + kPause;
       this->Report(process);
-    } else if (news || this->now - process.reported >= kReportEvery) {
+    } else if (news || this->now - process.reported >= kReportInterval) {
       this->Report(process);
     }
   }
 
-  bool SourceStands(const Process& process) {
+  bool SourceStalled(const Process& process) {
     return process.source != kLeader && this->Find(process.source).stalls_at <=
                                             process.source_since + kFetch;
   }
 
   bool SourceEnded(const Process& process) {
     const Duration took = this->now - process.source_since;
-    if (!this->SourceStands(process)) {
+    if (!this->SourceStalled(process)) {
       return took >= kFetch;
     }
     const bool gave_some = this->Find(process.source).stalls_at >
@@ -205,24 +205,24 @@
 
 }  // namespace
 
-// Guards against entries that obey an older configuration because the processes
-// they were sent to for the new one stand still.
-TEST_CASE("an entry has a new text in time though its sources stand still") {
-  SECTION("as do those that were given all places at once") {
+// Guards against entries that use an older configuration because the sources
+// assigned to them for the new one are stalled.
+TEST_CASE("an entry gets a new text in time although sources stall") {
+  SECTION("as those with the first slots stall at once") {
     Fleet fleet(2, 11, 0);
     for (std::uint32_t i = 0; i < 6; ++i) {
       fleet.Stop({i, 0});
     }
     CHECK(fleet.LateEntries().empty());
   }
-  SECTION("as do those that had begun to fetch from all that have it") {
+  SECTION("as those that fetch from all sources stall") {
     Fleet fleet(2, 24, 0);
     for (std::uint32_t i = 0; i < 12; ++i) {
       fleet.Stop({i, 250});
     }
     CHECK(fleet.LateEntries().empty());
   }
-  SECTION("two of them, one after the other") {
+  SECTION("as two of its sources stall one after the other") {
     Fleet fleet(2, 49, 6);
     for (const Stall& stall :
          {Stall{12, 0}, Stall{26, 0}, Stall{0, 421}, Stall{1, 681}}) {
@@ -230,8 +230,8 @@
     }
     CHECK(fleet.LateEntries().empty());
   }
-  SECTION("in fleets of any size, whoever stands still and when") {
-    CHECK(rc::check("whoever stands still, and when", [] {
+  SECTION("in fleets of any size, with any stalls") {
+    CHECK(rc::check("any stalls", [] {
       const int members = *rc::gen::inRange(2, 9);
       const int entries = *rc::gen::inRange(2, 60);
       const int gates = *rc::gen::inRange(0, 60);
--- a/src/coordination/tests/textchunks_tests.cpp
+++ b/src/coordination/tests/textchunks_tests.cpp
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "coordination/configurationshelf.h"
+#include "coordination/configurationhistory.h"
 #include "coordination/contentchunks.h"
 #include "coordination/coordinationmessages.h"
 #include "coordination/tests/routestext.h"
@@ -20,7 +20,7 @@
 namespace papayarack::coordination {
 namespace {
 
-/// Bytes; the largest chunk that SplitText makes.
+/// The largest chunk that SplitText makes, in bytes.
 constexpr std::size_t kLargestChunk = 16U << 10U;
 
 std::vector<std::string> Chunks(const TextManifest& manifest,
@@ -33,7 +33,7 @@
   return chunks;
 }
 
-/// How many chunks a holder of `before` lacks of `after`.
+/// The number of chunks of `after` that `before` lacks.
 std::size_t Lacking(const TextManifest& before, const TextManifest& after) {
   const ChunkIndex held(before);
   return static_cast<std::size_t>(std::ranges::count_if(
@@ -41,12 +41,13 @@
       [&held](const ChunkName& chunk) { return !held.Has(chunk.hash); }));
 }
 
-/// Replaces at most `kMostChanged` bytes somewhere by as many others at most.
+/// Replaces up to `kMaxChanged` bytes at a random position by up to as many
+/// others.
 std::string ChangedSomewhere(const std::string& text) {
-  constexpr std::size_t kMostChanged = 40;
+  constexpr std::size_t kMaxChanged = 40;
   const auto place = *rc::gen::inRange<std::size_t>(0, text.size() + 1);
-  const auto gone = *rc::gen::inRange<std::size_t>(0, kMostChanged);
-  const auto come = *rc::gen::inRange<std::size_t>(0, kMostChanged);
+  const auto gone = *rc::gen::inRange<std::size_t>(0, kMaxChanged);
+  const auto come = *rc::gen::inRange<std::size_t>(0, kMaxChanged);
   const auto seed = *rc::gen::arbitrary<std::uint64_t>();
   std::string changed = text;
   changed.replace(place, gone, RoutesText(come, seed));
@@ -55,8 +56,8 @@
 
 }  // namespace
 
-TEST_CASE("a text is split where its content says so") {
-  SECTION("into chunks that join to the text") {
+TEST_CASE("a text is split into chunks by its content") {
+  SECTION("and the chunks join to the text") {
     CHECK(rc::check("of any size", [] {
       const auto size = *rc::gen::inRange<std::size_t>(0, 100'000);
       const auto seed = *rc::gen::arbitrary<std::uint64_t>();
@@ -78,11 +79,11 @@
       }
     }));
   }
-  SECTION("so that a change of a few bytes changes few chunks") {
-    // A new boundary may split one chunk, a lost one join two; and where the
-    // smallest or largest size moved a boundary, the chunks behind it move
-    // until both versions meet at the same one again.
-    constexpr std::size_t kMostChanged = 5;
+  SECTION("and a change of a few bytes changes few chunks") {
+    // A new boundary may split one chunk, and a removed one may join two. If
+    // the smallest or largest size moved a boundary, the following chunks
+    // change until both versions have a boundary in common again.
+    constexpr std::size_t kMaxChanged = 5;
     std::size_t most = 0;
     std::size_t sum = 0;
     std::size_t cases = 0;
@@ -96,13 +97,13 @@
       most = std::max(most, lacking);
       sum += lacking;
       ++cases;
-      RC_ASSERT(lacking <= kMostChanged);
+      RC_ASSERT(lacking <= kMaxChanged);
     }));
     INFO("most " << most << ", sum " << sum << " of " << cases);
-    // One chunk mostly: the one that holds the change.
+    // Mostly one chunk, the one that contains the change.
     CHECK(sum <= cases + cases / 4);
   }
-  SECTION("into about eighty chunks for 400 KB") {
+  SECTION("and 400 KB make about eighty chunks") {
     constexpr std::size_t kBytes = 400'000;
     constexpr std::uint64_t kSeeds = 20;
     std::size_t chunks = 0;
@@ -113,16 +114,16 @@
     CHECK(chunks / kSeeds >= 70);
     CHECK(chunks / kSeeds <= 110);
   }
-  SECTION("and an empty one into none") {
+  SECTION("and an empty text has no chunks") {
     CHECK(SplitText(1, "").chunks.empty());
     CHECK(SplitText(1, "").Bytes() == 0);
     CHECK_FALSE(ChunkIndex(SplitText(1, "")).Find("", Hash64("")).has_value());
   }
 }
 
-TEST_CASE("a text is put together from chunks") {
-  SECTION("in any order, some twice, among chunks of other texts") {
-    CHECK(rc::check("and is whole with the last", [] {
+TEST_CASE("a text is assembled from chunks") {
+  SECTION("in any order, with duplicates and foreign chunks") {
+    CHECK(rc::check("and is complete with the last chunk", [] {
       const auto seed = *rc::gen::arbitrary<std::uint64_t>();
       const auto size = *rc::gen::inRange<std::size_t>(1, 100'000);
       const std::string text = RoutesText(size, seed);
@@ -158,7 +159,7 @@
       RC_ASSERT(assembly.Finish() == text);
     }));
   }
-  SECTION("asking for no more at once than it may, but for one at least") {
+  SECTION("with at least one and at most the given bytes per request") {
     const std::string text = RoutesText(200'000, 4);
     const TextManifest manifest = SplitText(1, text);
     TextAssembly assembly;
@@ -173,8 +174,8 @@
     REQUIRE(assembly.Missing(0).size() == 1);
     CHECK(assembly.Missing(0).front().hash == manifest.chunks.front().hash);
   }
-  SECTION("which may repeat within it") {
-    // A run of one byte has no boundary but at the largest size.
+  SECTION("that may repeat within the text") {
+    // A run of equal bytes has boundaries only at the largest size.
     const std::string text(5 * kLargestChunk, 'a');
     const TextManifest manifest = SplitText(1, text);
     REQUIRE(manifest.chunks.size() >= 5);
@@ -186,7 +187,7 @@
     CHECK(assembly.MissingBytes() == 0);
     CHECK(assembly.Finish() == text);
   }
-  SECTION("also when there are none") {
+  SECTION("also if it has no chunks") {
     TextAssembly assembly;
     assembly.Begin(SplitText(1, ""));
     CHECK(assembly.MissingBytes() == 0);
@@ -194,17 +195,17 @@
     CHECK_FALSE(assembly.TakeChunk(""));
     CHECK(assembly.Finish() == "");
   }
-  SECTION("those of the version before it included") {
+  SECTION("including those of the previous version") {
     const std::string before = RoutesText(200'000, 4);
     std::string after = before;
     after.insert(100'000, "a route more");
     const TextManifest manifest = SplitText(2, after);
     TextAssembly assembly;
-    SECTION("when that is held in full") {
+    SECTION("if that is complete") {
       assembly.Begin(manifest);
       assembly.TakeText(before);
     }
-    SECTION("when that was under way") {
+    SECTION("if that was being assembled") {
       assembly.Begin(SplitText(1, before));
       assembly.TakeText(before);
       assembly.Begin(manifest);
@@ -217,7 +218,7 @@
     }
     CHECK(assembly.Finish() == after);
   }
-  SECTION("and is not taken where they make up another text") {
+  SECTION("and is refused if the digest differs") {
     const std::string text = RoutesText(50'000, 4);
     TextManifest manifest = SplitText(1, text);
     ++manifest.digest;
@@ -226,7 +227,7 @@
     assembly.TakeText(text);
     CHECK(assembly.MissingBytes() == 0);
     CHECK_FALSE(assembly.Finish().has_value());
-    // Nothing of it is trusted any more; asked again it still says no.
+    // All chunks are dropped, so the next call fails too.
     CHECK(assembly.TakenBytes() == 0);
     CHECK(assembly.MissingBytes() == text.size());
     CHECK_FALSE(assembly.Finish().has_value());
@@ -234,70 +235,72 @@
   }
 }
 
-TEST_CASE("a change leaves with the answer where it is small") {
+TEST_CASE("a small change is sent inline") {
   constexpr std::size_t kBytes = 100'000;
   const std::string first = RoutesText(kBytes, 3);
-  ConfigurationShelf shelf;
-  shelf.Set(1, first);
+  ConfigurationHistory config_history;
+  config_history.Set(1, first);
 
-  SECTION("and all of it goes to those who have nothing when it is small") {
-    ConfigurationShelf small;
-    const std::string text = RoutesText(ConfigurationShelf::kInlineBytes, 1);
+  SECTION("and so is a small text to a process without any") {
+    ConfigurationHistory small;
+    const std::string text =
+        RoutesText(ConfigurationHistory::kMaxInlineBytes, 1);
     small.Set(1, text);
-    REQUIRE(small.GoesInline(0));
+    REQUIRE(small.FitsInline(0));
     const auto chunks = small.InlineChunks(0, text);
     REQUIRE(chunks.has_value());
     CHECK(std::accumulate(chunks->begin(), chunks->end(), std::string()) ==
           text);
     small.Set(2, text + "x");
-    CHECK_FALSE(small.GoesInline(0));
-    CHECK(small.GoesInline(1));
+    CHECK_FALSE(small.FitsInline(0));
+    CHECK(small.FitsInline(1));
   }
-  SECTION("but a large text does not") {
-    CHECK_FALSE(shelf.GoesInline(0));
-    CHECK_FALSE(shelf.InlineChunks(0, first).has_value());
+  SECTION("but not a large text") {
+    CHECK_FALSE(config_history.FitsInline(0));
+    CHECK_FALSE(config_history.InlineChunks(0, first).has_value());
   }
-  SECTION("to a holder of the version before: what it lacks") {
+  SECTION("as the chunks that a process with the previous version lacks") {
     std::string second = first;
     second.insert(kBytes / 2, "a route more");
-    shelf.Set(2, second);
-    REQUIRE(shelf.GoesInline(1));
-    const auto chunks = shelf.InlineChunks(1, second);
+    config_history.Set(2, second);
+    REQUIRE(config_history.FitsInline(1));
+    const auto chunks = config_history.InlineChunks(1, second);
     REQUIRE(chunks.has_value());
     TextAssembly assembly;
-    assembly.Begin(shelf.manifest());
+    assembly.Begin(config_history.manifest());
     assembly.TakeText(first);
     for (const std::string& chunk : *chunks) {
       CHECK(assembly.TakeChunk(chunk));
     }
     CHECK(assembly.Finish() == second);
-    SECTION("nothing to a holder of the newest") {
-      CHECK(shelf.InlineChunks(2, second) == std::vector<std::string>());
+    SECTION("which are none for the newest version") {
+      CHECK(config_history.InlineChunks(2, second) ==
+            std::vector<std::string>());
     }
-    SECTION("and not where all of it is new") {
-      shelf.Set(3, RoutesText(kBytes, 9));
-      CHECK_FALSE(shelf.GoesInline(1));
-      CHECK_FALSE(shelf.GoesInline(2));
+    SECTION("but not if all of the text is new") {
+      config_history.Set(3, RoutesText(kBytes, 9));
+      CHECK_FALSE(config_history.FitsInline(1));
+      CHECK_FALSE(config_history.FitsInline(2));
     }
   }
-  SECTION("while the version that the asker holds is remembered") {
+  SECTION("while the process's version is remembered") {
     std::string text = first;
-    const std::uint64_t last = ConfigurationShelf::kVersionsKept;
+    const std::uint64_t last = ConfigurationHistory::kVersionsKept;
     for (std::uint64_t version = 2; version <= last; ++version) {
       text += "x";
-      shelf.Set(version, text);
+      config_history.Set(version, text);
     }
-    CHECK(shelf.GoesInline(1));
-    shelf.Set(last + 1, text + "x");
-    CHECK_FALSE(shelf.GoesInline(1));
-    CHECK(shelf.GoesInline(2));
-    // A version that it never saw is as one that it forgot.
-    CHECK_FALSE(shelf.GoesInline(last + 2));
+    CHECK(config_history.FitsInline(1));
+    config_history.Set(last + 1, text + "x");
+    CHECK_FALSE(config_history.FitsInline(1));
+    CHECK(config_history.FitsInline(2));
+    // An unknown version is treated like a forgotten one.
+    CHECK_FALSE(config_history.FitsInline(last + 2));
   }
-  SECTION("and a version that is set again changes nothing") {
-    const std::uint64_t digest = shelf.manifest().digest;
-    shelf.Set(1, "another");
-    CHECK(shelf.manifest().digest == digest);
+  SECTION("and setting the same version again changes nothing") {
+    const std::uint64_t digest = config_history.manifest().digest;
+    config_history.Set(1, "another");
+    CHECK(config_history.manifest().digest == digest);
   }
 }
 
--- a/src/coordination/tests/textfetch_tests.cpp
+++ b/src/coordination/tests/textfetch_tests.cpp
@@ -19,11 +19,11 @@
 namespace papayarack::coordination {
 namespace {
 
-/// A process on the loopback that gives chunks of a text, up to some number of
-/// requests, and counts what it was asked for.
+/// A process on the loopback interface that serves chunks of a text for some
+/// number of requests, and records the requests.
 class Source {
  public:
-  enum class Manner { kGives, kEnds, kSilent };
+  enum class Behaviour { kServes, kEnds, kSilent };
 
   Source(asio::io_context& context, std::string text)
       : text(std::move(text)),
@@ -42,8 +42,8 @@
 
   std::string text;
   ChunkIndex index;
-  std::size_t answers = SIZE_MAX;  ///< What it gives before `then`.
-  Manner then = Manner::kGives;
+  std::size_t answers = SIZE_MAX;  ///< Number of replies before `then`.
+  Behaviour then = Behaviour::kServes;
   std::vector<std::uint64_t> asked;  ///< Hashes, of all requests.
   std::set<std::uint64_t> given;     ///< Hashes.
   std::size_t largest_request = 0;   ///< Bytes.
@@ -61,12 +61,13 @@
       }
     }
     this->largest_request = std::max(this->largest_request, bytes);
-    const Manner manner = this->answers > 0 ? Manner::kGives : this->then;
+    const Behaviour behaviour =
+        this->answers > 0 ? Behaviour::kServes : this->then;
     this->answers -= this->answers > 0 ? 1 : 0;
-    if (manner == Manner::kSilent) {
+    if (behaviour == Behaviour::kSilent) {
       return;
     }
-    if (manner == Manner::kGives) {
+    if (behaviour == Behaviour::kServes) {
       for (const std::string& chunk : found.chunks) {
         this->given.insert(Hash64(chunk));
       }
@@ -117,50 +118,50 @@
   TextFetch fetch(context, peers);
   REQUIRE_FALSE(fetch.Prepare(manifest, "", {}).has_value());
 
-  SECTION("part after part") {
+  SECTION("in parts") {
     const Fetched fetched = FetchAndRun(context, fetch, first.Address());
     CHECK(fetched.text == text);
     CHECK(first.asked.size() == manifest.chunks.size());
     CHECK(first.largest_request <= kPart);
   }
-  SECTION("the next going on where one died") {
+  SECTION("and the next source continues after one died") {
     constexpr std::size_t kAnswers = 3;
     first.answers = kAnswers;
-    first.then = Source::Manner::kEnds;
+    first.then = Source::Behaviour::kEnds;
     CHECK_FALSE(FetchAndRun(context, fetch, first.Address()).text.has_value());
-    // As the leader's next answer does, of the same text.
+    // As for the leader's next reply, with the same text.
     REQUIRE_FALSE(fetch.Prepare(manifest, "", {}).has_value());
     const Fetched fetched = FetchAndRun(context, fetch, second.Address());
     CHECK(fetched.text == text);
-    // What the first has given is not asked for again.
+    // Chunks from the first source are not requested again.
     CHECK(first.given.size() > manifest.chunks.size() / 3);
     CHECK(second.asked.size() == manifest.chunks.size() - first.given.size());
     CHECK(std::ranges::none_of(second.asked, [&](std::uint64_t hash) {
       return first.given.count(hash) > 0;
     }));
   }
-  SECTION("one that answers nothing being given up") {
+  SECTION("and a source that sends nothing is given up") {
     first.answers = 0;
-    first.then = Source::Manner::kSilent;
+    first.then = Source::Behaviour::kSilent;
     const Fetched fetched = FetchAndRun(context, fetch, first.Address());
     CHECK_FALSE(fetched.text.has_value());
     CHECK(fetched.took >= std::chrono::milliseconds(500));
     CHECK(fetched.took < std::chrono::milliseconds(1000));
   }
-  SECTION("one that gave some of it having more time for the rest") {
+  SECTION("and a source that sent a part has more time for the rest") {
     first.answers = 1;
-    first.then = Source::Manner::kSilent;
+    first.then = Source::Behaviour::kSilent;
     const Fetched fetched = FetchAndRun(context, fetch, first.Address());
     CHECK_FALSE(fetched.text.has_value());
     CHECK(fetched.took >= std::chrono::milliseconds(1500));
     CHECK(fetched.took < std::chrono::milliseconds(2500));
   }
-  SECTION("one where nobody listens being given up too") {
+  SECTION("and an unreachable source is given up") {
     const Fetched fetched = FetchAndRun(context, fetch, "127.0.0.1:1");
     CHECK_FALSE(fetched.text.has_value());
     CHECK(fetched.took < std::chrono::milliseconds(2500));
   }
-  SECTION("one that has another version giving what it shares") {
+  SECTION("and a source with another version serves common chunks") {
     std::string other = text;
     other.insert(kBytes / 2, "a route more");
     Source older(context, other);
@@ -169,31 +170,30 @@
     CHECK(FetchAndRun(context, fetch, second.Address()).text == text);
     CHECK(second.asked.size() <= 3);
   }
-  // Symptom: a source that holds nearly all of the text gives nothing of it.
-  // Sequence: the first 64 KB are new; they are asked for first, and the source
-  // has none of them. Cause: an answer without chunks ended the fetch, whatever
-  // else the source has.
-  SECTION("one that lacks the first part giving the rest") {
+  // Guards against a source with nearly all of the text that serves nothing.
+  // The first 64 KB are new and are requested first; a reply without chunks
+  // must not end the fetch.
+  SECTION("and a source that lacks the first part serves the rest") {
     const std::string other = RoutesText(2 * kPart, 9) + text.substr(2 * kPart);
     Source older(context, other);
     CHECK_FALSE(FetchAndRun(context, fetch, older.Address()).text.has_value());
     CHECK(older.given.size() > manifest.chunks.size() / 2);
-    // What it lacks it is asked for once.
+    // Chunks that it lacks are requested once.
     CHECK(older.asked.size() == manifest.chunks.size());
     REQUIRE_FALSE(fetch.Prepare(manifest, "", {}).has_value());
     CHECK(FetchAndRun(context, fetch, second.Address()).text == text);
   }
-  SECTION("not at all where what is held makes it up") {
+  SECTION("unless the available chunks complete it") {
     CHECK(fetch.Prepare(manifest, text, {}) == text);
   }
-  SECTION("and what makes up another text ends, once") {
+  SECTION("and a digest mismatch ends the fetch once") {
     TextManifest wrong = manifest;
     ++wrong.digest;
     REQUIRE_FALSE(fetch.Prepare(wrong, "", {}).has_value());
     CHECK_FALSE(FetchAndRun(context, fetch, first.Address()).text.has_value());
     CHECK(first.asked.size() == manifest.chunks.size());
   }
-  SECTION("a newer one replacing it while it is under way") {
+  SECTION("and a newer text replaces a running fetch") {
     bool called = false;
     fetch.Start(first.Address(),
                 [&](const std::optional<std::string>&) { called = true; });
--- a/src/coordination/textfetch.h
+++ b/src/coordination/textfetch.h
@@ -19,26 +19,26 @@
 
 namespace papayarack::coordination {
 
-/// What a process can give of the text that it holds.
-struct HeldText {
+/// The text that a process holds, for serving its chunks.
+struct LocalText {
   std::string_view text;
   const ChunkIndex* index = nullptr;
 };
 
-/// Answers other processes' requests for chunks. `held` is asked at each
-/// request. Precondition: `server` and what `held` refers to outlive
+/// Serves chunks to other processes. Calls `held` at each request.
+/// Precondition: `server` and everything that `held` refers to outlive
 /// `dispatch`.
 void ServeChunks(transport::PeerServer*& server,
                  transport::PeerDispatch& dispatch,
-                 std::function<HeldText()> held);
+                 std::function<LocalText()> held);
 
-/// Fetches a text from another process, part after part: one request at a time,
-/// so that the sender never has more than one part of it waiting to be sent.
-/// What was fetched stays when the source fails, and the next goes on from
-/// there. Thread safety: none, the loop's thread.
+/// Fetches a text from another process in parts, one request at a time, so that
+/// the sender never has more than one part queued. Chunks are kept when the
+/// source fails, and the next fetch continues from there. Thread safety: none,
+/// the loop's thread.
 class TextFetch {
  public:
-  /// `text`: what was fetched; nothing where the source failed or lacks a part.
+  /// `text`: the fetched text; nullopt if the source failed or lacks a part.
   using Done = std::function<void(std::optional<std::string> text)>;
 
   TextFetch(asio::io_context& context, transport::PeerClient& peers);
@@ -46,37 +46,37 @@
   TextFetch(const TextFetch&) = delete;
   TextFetch& operator=(const TextFetch&) = delete;
 
-  /// Gives up what is under way and takes what is at hand for the text of
-  /// `manifest`: chunks fetched before, `held` in full, `chunks`. Returns the
-  /// text where that was all.
+  /// Cancels any running fetch and collects the available chunks of the text of
+  /// `manifest`: those fetched before, those of `held`, and `chunks`. Returns
+  /// the text if that is complete.
   std::optional<std::string> Prepare(TextManifest manifest,
                                      std::string_view held,
                                      std::span<const std::string> chunks);
-  /// Fetches what is missing; `done` is called once unless the fetch is
-  /// replaced. Precondition: Prepare was called and returned nothing.
+  /// Fetches the missing chunks. `done` is called once unless another Prepare
+  /// replaces the fetch. Precondition: Prepare was called and returned nullopt.
   void Start(std::string source, Done done);
 
-  /// Address of the process that is being asked; empty while none is.
+  /// Address of the source; empty if no fetch is running.
   const std::string& source() const { return this->address; }
   const TextManifest& manifest() const { return this->assembly.manifest(); }
   std::uint64_t version() const { return this->manifest().version; }
 
  private:
-  void AskPart();
+  void RequestPart();
   void OnPart(const std::string& message);
   void End(std::optional<std::string> text);
 
   transport::PeerClient& peers;
   TextAssembly assembly;
   std::string address;
-  Endpoint endpoint;             ///< `address`, decoded.
-  std::vector<ChunkName> asked;  ///< With the request under way.
-  /// Hashes of chunks that the source was asked for and did not give.
+  Endpoint endpoint;             ///< `address`, parsed.
+  std::vector<ChunkName> asked;  ///< By the pending request.
+  /// Hashes of chunks that the source was asked for and did not send.
   std::unordered_set<std::uint64_t> not_given;
   Done done;
   Time started{};
   Time deadline{};
-  bool any_part = false;  ///< This source has given one.
+  bool any_part = false;  ///< This source has sent a part.
   std::size_t bytes_at_start = 0;
   std::uint64_t round = 0;
   transport::CallId call = 0;
--- a/src/coordination/transferplan.h
+++ b/src/coordination/transferplan.h
@@ -11,82 +11,81 @@
 
 namespace papayarack::coordination {
 
-/// What a process says of the text that it holds or fetches.
+/// A process's report of the text that it has or fetches.
 struct TransferReport {
   std::string name;     ///< Of the process.
   std::string address;  ///< Where others can fetch from it.
   std::string zone;
   std::uint64_t incarnation = 0;  ///< New at every start.
-  std::uint64_t held = 0;         ///< Version that it holds in full.
+  std::uint64_t held = 0;         ///< Version that it has completely.
   std::string fetching_from;      ///< Empty: no fetch is under way.
-  bool is_member = false;         ///< Applies the group's log itself.
+  bool is_member = false;         ///< Has the text in its own copy of the log.
 };
 
-/// Decides who fetches a new text from whom, so that it spreads like a tree
-/// whatever its size. Load pattern it answers: one leader, a few hundred
-/// processes that all need a large text at once. Sent by the leader alone the
-/// copies keep its link full for longer than anybody waits, are begun anew and
-/// never arrive. Each process that
-/// holds the text serves at most `kMostFetchers` at a time, so the number of
-/// those that hold it triples with each round, and no link carries more than a
-/// few copies. Thread safety: none. Does no I/O.
+/// Assigns sources to processes that need a new text, so that it spreads as a
+/// tree. If the leader alone sent a large text to a few hundred processes, its
+/// link would stay full until fetches time out and start again, so that they
+/// never complete. Each process that has the text serves at most `kMaxFetchers`
+/// at a time, so the number of sources triples with each round, and no link
+/// carries more than a few copies. Thread safety: none. Does no I/O.
 class TransferPlan {
  public:
-  /// Two: one fetch waits for its next part while the other's is on the way,
-  /// and a link of 30 Mbit/s still gives each 190 KB in 0.1 s.
-  static constexpr std::size_t kMostFetchers = 2;
-  /// A fetcher that has not said for this long that it goes on is forgotten,
-  /// and a holder of which nothing was heard is no source: both report at least
-  /// once a second.
+  /// With two, one fetch requests its next part while the other's is sent, and
+  /// a link of 30 Mbit/s still gives each 190 KB in 0.1 s.
+  static constexpr std::size_t kMaxFetchers = 2;
+  /// A fetcher that has not confirmed its fetch for this long loses its slot,
+  /// and a process that has not reported for this long is not used as a source:
+  /// both report at least once a second.
   static constexpr std::chrono::milliseconds kForgetAfter{1300};
-  /// One that has not said at all that it fetches keeps no place at its source
-  /// for longer: a process that runs says so as it begins. Symptom guarded
-  /// against: nobody gets the text while processes that stand still, whose
-  /// watches were open, hold all places at those that have it.
-  static constexpr std::chrono::milliseconds kUnconfirmedFor{400};
-  /// A source that failed one of its fetchers is given to nobody for this long.
-  /// Symptom guarded against: after most of a fleet was killed, the processes
-  /// that still need the text are sent from one dead holder to the next, each
-  /// try a call to the leader. The dead are dropped 4 s after their last
-  /// report.
-  static constexpr std::chrono::milliseconds kAvoidFor{2000};
-  /// Behind that, others go first for this long: what cuts two processes off
-  /// from each other lasts longer than what ends one fetch.
-  static constexpr std::chrono::milliseconds kRememberFailure{30000};
-  /// A process that so many sources have failed of late fetches from a member
-  /// of the group if one is free: a fetch that is given up takes 0.5 s or more.
-  static constexpr std::size_t kMostDetours = 1;
+  /// A fetcher that never confirmed its fetch loses its slot after this long: a
+  /// running process confirms as it begins. Otherwise stalled processes with
+  /// open watches would occupy all slots, and nobody could fetch the text.
+  static constexpr std::chrono::milliseconds kConfirmTimeout{400};
+  /// A source that failed one fetcher is assigned to nobody for this long.
+  /// Otherwise, after most of a fleet is killed, the processes that still need
+  /// the text would be sent from one dead source to the next, with a call to
+  /// the leader for each attempt. Dead processes are dropped 4 s after their
+  /// last report.
+  static constexpr std::chrono::milliseconds kSourceBackoff{2000};
+  /// For this long after a failure, other sources are preferred for that
+  /// process: a network partition between two processes lasts longer than one
+  /// failed fetch.
+  static constexpr std::chrono::milliseconds kFailureRetention{30000};
+  /// A process that this many sources have failed recently fetches from a
+  /// member of the group if one has a free slot: a failed fetch takes 0.5 s or
+  /// more.
+  static constexpr std::size_t kMaxDetours = 1;
 
-  /// A member reads its own copy of the log, which no link carries. It learns
-  /// with the next heartbeat, 100 ms later at most, that the entry is
-  /// committed; so it is told to look again before it is sent elsewhere.
-  static constexpr std::size_t kOwnCopyTries = 3;
-  static constexpr std::chrono::milliseconds kOwnCopyPause{60};
+  /// A member reads its own copy of the log, without using a link. It learns up
+  /// to 100 ms later, with the next heartbeat, that the entry is committed; so
+  /// it retries its own copy before it is assigned another source.
+  static constexpr std::size_t kMaxOwnCopyAttempts = 3;
+  static constexpr std::chrono::milliseconds kOwnCopyRetryDelay{60};
 
-  /// `own_address`: this leader's, which always holds the newest.
+  /// `own_address`: this leader's address; it always has the newest text.
   explicit TransferPlan(std::string own_address)
       : own_address(std::move(own_address)) {}
 
-  /// A new leader knows nothing yet.
+  /// Resets the state for a new leader.
   void Clear();
-  /// Another version is the one to be had from now on.
+  /// Sets the version to distribute.
   void SetVersion(std::uint64_t version);
   /// Precondition: reports of one process arrive in order.
-  void Heard(const TransferReport& report, Time now);
-  void Gone(const std::string& name);
+  void OnReport(const TransferReport& report, Time now);
+  void Remove(const std::string& name);
   void ForgetSilent(Time now);
 
-  /// Where `name`, which has reported, is to fetch from now; nothing while
-  /// every process that holds the text serves as many as it may.
+  /// The address that `name`, which has reported, fetches from now. Empty while
+  /// all sources are at their limit.
   std::optional<std::string> Assign(const std::string& name, Time now);
-  /// Whether `name` is to read its own copy, which needs no source.
+  /// Whether `name` reads its own copy, which needs no source.
   bool ReadsOwnCopy(const std::string& name) const;
-  /// Whether any process could serve one more fetch.
+  /// Whether any source has a free slot.
   bool HasFreeSource(Time now) const;
   std::size_t Holders() const;
 
  private:
-  /// How a source has failed one process.
+  /// Failures of a source for one process.
   struct Failure {
     std::size_t count = 0;
     Time last{};
@@ -94,21 +93,22 @@
   struct Process {
     TransferReport report;
     Time heard{};        ///< When it last reported.
-    std::string source;  ///< Given to it; empty: none.
+    std::string source;  ///< Assigned source; empty: none.
     Time source_since{};
-    bool confirmed = false;  ///< It has said that it fetches from `source`.
-    std::size_t own_copy_failures = 0;  ///< For this version.
+    bool confirmed = false;  ///< It has reported a fetch from `source`.
+    /// Failures of its own copy, for this version.
+    std::size_t own_copy_failures = 0;
     Time own_copy_failed{};
-    bool counted = false;  ///< In `fetchers`; not when it reads its own copy.
-    std::uint64_t held_before = 0;  ///< Version, when it got its source.
+    bool counted = false;  ///< Counted in `fetchers`; false for its own copy.
+    std::uint64_t held_before = 0;  ///< Version when the source was assigned.
     std::map<std::string, Failure> failures;  ///< By source address.
   };
   static bool ReadsOwnCopy(const Process& process);
   bool HasText(const Process& process, Time now) const;
   bool MayServe(const std::string& address, Time now) const;
   std::size_t FetchersOf(const std::string& address) const;
-  void TakePlace(Process& process);
-  void GiveBackPlace(Process& process);
+  void AcquireSlot(Process& process);
+  void ReleaseSlot(Process& process);
   void Release(Process& process);
   void NoteFailure(Process& process, Time now);
   void Begin(Process& process, const std::string& source, Time now);
@@ -118,7 +118,8 @@
   std::uint64_t version = 0;
   std::map<std::string, Process> processes;
   std::map<std::string, std::size_t> fetchers;  ///< By source address.
-  std::map<std::string, Time> failed;           ///< Sources that failed one.
+  std::map<std::string, Time>
+      failed;  ///< Time of a source's last failure, by address.
 };
 
 }  // namespace papayarack::coordination
--- a/src/nodes/internal/fleetengines.cpp
+++ b/src/nodes/internal/fleetengines.cpp
@@ -91,7 +91,7 @@
 }  // namespace
 
 bool ListNamesHosts(const coordination::FleetKnowledge& fleet, Time now) {
-  return fleet.names_hosts && now - fleet.heard <= kHostsHold;
+  return fleet.hosts_known && now - fleet.heard <= kHostsHold;
 }
 
 std::vector<EngineAt> EnginesOwnedBy(const coordination::FleetKnowledge& fleet,
--- a/src/nodes/tests/fleetengines_tests.cpp
+++ b/src/nodes/tests/fleetengines_tests.cpp
@@ -67,7 +67,7 @@
                    Engine("i-2", "llm", "10.0.0.2:80")};
   fleet.nodes = {Node("store-1", coordination::NodeRole::kStore),
                  Node("store-2", coordination::NodeRole::kStore)};
-  fleet.names_hosts = true;
+  fleet.hosts_known = true;
   fleet.entries = 2;
   fleet.heard = now;
   return fleet;
@@ -140,7 +140,7 @@
         CHECK(option.unowned_share == 4);
       }
     }
-    fleet.names_hosts = false;
+    fleet.hosts_known = false;
     CHECK(OwnedBy(fleet, "store-1", now) == 0);
   }
   // Symptom: an entry refuses everybody beside idle engines. Sequence: no
--- a/src/nodes/tests/ownership_tests.cpp
+++ b/src/nodes/tests/ownership_tests.cpp
@@ -118,7 +118,7 @@
       }
       process.known.nodes = this->table.ChangesFor(NodeRole::kStore, 0).set;
       process.known.engines = this->engines;
-      process.known.names_hosts |= this->table.NamesHosts(this->now);
+      process.known.hosts_known |= this->table.HostsKnown(this->now);
       process.known.heard = this->now;
     }
   }
