--- a/src/control/internal/controlserver.cpp
+++ b/src/control/internal/controlserver.cpp
@@ -306,7 +306,7 @@
       return;
     }
     const Time now = MonotonicNow();
-    this->fleet.Heard(heartbeat.report, now);
+    this->fleet.OnHeartbeat(heartbeat.report, now);
     this->fleet.Refresh(now);
     HeartbeatReply body;
     const documents::DocumentStore& documents =
@@ -403,7 +403,7 @@
   void On(const WriterProgressed&) {
   }  // Wakes the thread, which then calls ProcessWriterProgress.
   void On(const PlatformList& list) {
-    this->fleet.PlatformSaysLeaving(list.leaving);
+    this->fleet.SetPlatformLeaving(list.leaving);
   }
   void On(const DumpRequest& request) {
     request.answer->set_value(this->BuildDump());
--- a/src/nodes/internal/fleetengines.cpp
+++ b/src/nodes/internal/fleetengines.cpp
@@ -92,7 +92,7 @@
 }  // namespace
 
 bool HostListValid(const coordination::FleetKnowledge& fleet, Time now) {
-  return fleet.names_hosts && now - fleet.heard <= kHostListValidity;
+  return fleet.hosts_known && now - fleet.heard <= kHostListValidity;
 }
 
 std::vector<EngineLocation> EnginesOwnedBy(
