--- a/src/nodes/internal/noderuntime.cpp
+++ b/src/nodes/internal/noderuntime.cpp
@@ -203,8 +203,8 @@
 }
 
 std::string NodeRuntime::Exposition() {
-  transport::ShowTransport(this->server->Totals(), this->peers->Totals(),
-                           this->metrics);
+  transport::ExportTransportMetrics(this->server->Totals(),
+                                    this->peers->Totals(), this->metrics);
   if (this->watch != nullptr) {
     const coordination::FleetKnowledge& fleet = this->watch->knowledge();
     this->metrics.Set("configuration_version",
@@ -226,8 +226,8 @@
     if (error) {
       return;
     }
-    this->backlog.Look(
-        transport::BacklogOf(this->server->Totals(), this->peers->Totals()),
+    this->backlog.Update(
+        transport::TotalBacklog(this->server->Totals(), this->peers->Totals()),
         MonotonicNow());
     this->WatchBacklog();
   });
--- a/src/nodes/noderuntime.h
+++ b/src/nodes/noderuntime.h
@@ -22,7 +22,7 @@
 #include "nodes/ownedengine.h"
 #include "routes/routetable.h"
 #include "storage/filesystem.h"
-#include "transport/backlogwatch.h"
+#include "transport/backlogmonitor.h"
 #include "transport/peerclient.h"
 #include "transport/peerdispatch.h"
 #include "transport/peerserver.h"
@@ -93,7 +93,7 @@
   /// Of this process's searches, whose readings are shorter than others.
   ListReader search_reader;
   std::unique_ptr<asio::steady_timer> backlog_timer;
-  transport::BacklogWatch backlog;
+  transport::BacklogMonitor backlog;
   LoopWatch loop_watch{this->context, this->metrics};
 };
 
--- a/src/transport/internal/backlogwatch.cpp
+++ b/src/transport/internal/backlogmonitor.cpp
@@ -1,4 +1,4 @@
-#include "transport/backlogwatch.h"
+#include "transport/backlogmonitor.h"
 
 #include <algorithm>
 #include <map>
@@ -7,8 +7,8 @@
 
 namespace papayarack::transport {
 
-Backlog BacklogOf(const TransportTotals& server,
-                  const TransportTotals& client) {
+Backlog TotalBacklog(const TransportTotals& server,
+                     const TransportTotals& client) {
   Backlog backlog;
   std::map<std::string, std::uint64_t> by_path;
   for (const TransportTotals* side : {&server, &client}) {
@@ -27,8 +27,9 @@
   return backlog;
 }
 
-BacklogWatch::Change BacklogWatch::Look(const Backlog& backlog, Time now) {
-  if (!this->high && backlog.unsent_bytes > kBacklogBytes) {
+BacklogMonitor::Change BacklogMonitor::Update(const Backlog& backlog,
+                                              Time now) {
+  if (!this->high && backlog.unsent_bytes > kBacklogWarnBytes) {
     this->high = true;
     this->began = now;
     this->path = backlog.path;
@@ -42,7 +43,7 @@
   }
   this->most_unsent_bytes =
       std::max(this->most_unsent_bytes, backlog.unsent_bytes);
-  if (this->high && backlog.unsent_bytes < kBacklogBytes / 2) {
+  if (this->high && backlog.unsent_bytes < kBacklogWarnBytes / 2) {
     this->high = false;
     Log(LogLevel::kInfo, "peer_backlog_gone",
         {{"unsent_bytes", backlog.unsent_bytes},
--- a/src/transport/internal/http2session.cpp
+++ b/src/transport/internal/http2session.cpp
@@ -15,14 +15,14 @@
 constexpr std::size_t kWriteChunk = std::size_t{256} * 1024;
 
 nghttp2_nv Header(std::string_view name, std::string_view value) {
-  // The library copies both; its type only lacks const.
+  // nghttp2 copies both and modifies neither, but its type lacks const.
   return {reinterpret_cast<std::uint8_t*>(const_cast<char*>(name.data())),
           reinterpret_cast<std::uint8_t*>(const_cast<char*>(value.data())),
           name.size(), value.size(), NGHTTP2_NV_FLAG_NONE};
 }
 }  // namespace
 
-/// The C callbacks that nghttp2 wants, each handing over to the session.
+/// The C callbacks for nghttp2, which forward to the session.
 struct Http2Hooks {
   static Http2Session& Self(void* user) {
     return *static_cast<Http2Session*>(user);
@@ -73,8 +73,8 @@
     self.callbacks.on_stream_close(stream, error);
     const auto found = self.outgoing.find(stream);
     if (found != self.outgoing.end()) {
-      self.CountTaken(found->second,
-                      found->second.bytes.size() - found->second.sent);
+      self.CountDequeued(found->second,
+                         found->second.bytes.size() - found->second.sent);
       self.outgoing.erase(found);
     }
     return 0;
@@ -89,7 +89,7 @@
     std::copy_n(out.bytes.data() + out.sent, amount,
                 reinterpret_cast<char*>(buffer));
     out.sent += amount;
-    Self(user).CountTaken(out, amount);
+    Self(user).CountDequeued(out, amount);
     if (out.sent == out.bytes.size()) {
       out.bytes.clear();
       out.sent = 0;
@@ -105,12 +105,12 @@
 
 Http2Session::Http2Session(asio::ip::tcp::socket socket, Side side,
                            Callbacks callbacks,
-                           std::shared_ptr<TransportTally> tally)
+                           std::shared_ptr<TransportCounters> counters)
     : socket(std::move(socket)),
       callbacks(std::move(callbacks)),
-      tally(std::move(tally)),
+      counters(std::move(counters)),
       last_heard(MonotonicNow()) {
-  Raise(this->tally->connections);
+  Increase(this->counters->connections);
   nghttp2_session_callbacks* hooks = nullptr;
   nghttp2_session_callbacks_new(&hooks);
   nghttp2_session_callbacks_set_on_header_callback(hooks, Http2Hooks::OnHeader);
@@ -140,46 +140,46 @@
 }
 
 Http2Session::~Http2Session() {
-  this->LeaveTally();
+  this->ReleaseCounters();
   nghttp2_session_del(this->session);
 }
 
 void Http2Session::CountMessage(Outgoing& out, std::string_view path,
                                 std::size_t bytes) {
-  if (this->tally == nullptr) {
+  if (this->counters == nullptr) {
     return;
   }
-  if (out.tally == nullptr) {
-    out.tally = &this->tally->paths.Of(path);
+  if (out.counters == nullptr) {
+    out.counters = &this->counters->paths.Of(path);
   }
-  Raise(out.tally->messages);
-  Raise(out.tally->bytes, bytes);
-  Raise(out.tally->unsent_bytes, bytes);
-  Raise(this->tally->unsent_bytes, bytes);
+  Increase(out.counters->messages);
+  Increase(out.counters->bytes, bytes);
+  Increase(out.counters->unsent_bytes, bytes);
+  Increase(this->counters->unsent_bytes, bytes);
   this->unsent_bytes += bytes;
 }
 
-void Http2Session::CountTaken(const Outgoing& out, std::size_t bytes) {
-  if (this->tally == nullptr || out.tally == nullptr) {
+void Http2Session::CountDequeued(const Outgoing& out, std::size_t bytes) {
+  if (this->counters == nullptr || out.counters == nullptr) {
     return;
   }
-  Lower(out.tally->unsent_bytes, bytes);
-  Lower(this->tally->unsent_bytes, bytes);
+  Decrease(out.counters->unsent_bytes, bytes);
+  Decrease(this->counters->unsent_bytes, bytes);
   this->unsent_bytes -= bytes;
 }
 
-void Http2Session::LeaveTally() {
-  if (this->tally == nullptr) {
+void Http2Session::ReleaseCounters() {
+  if (this->counters == nullptr) {
     return;
   }
   for (const auto& [stream, out] : this->outgoing) {
-    this->CountTaken(out, out.bytes.size() - out.sent);
+    this->CountDequeued(out, out.bytes.size() - out.sent);
   }
-  // What is left is the write buffer.
-  Lower(this->tally->unsent_bytes, this->unsent_bytes);
-  Lower(this->tally->connections);
+  // The rest is the write buffer.
+  Decrease(this->counters->unsent_bytes, this->unsent_bytes);
+  Decrease(this->counters->connections);
   this->unsent_bytes = 0;
-  this->tally.reset();
+  this->counters.reset();
 }
 
 void Http2Session::Start() {
@@ -283,17 +283,17 @@
   }
   this->writing = true;
   const std::size_t length = this->write_buffer.size();
-  if (this->tally != nullptr) {
-    Raise(this->tally->unsent_bytes, length);
+  if (this->counters != nullptr) {
+    Increase(this->counters->unsent_bytes, length);
     this->unsent_bytes += length;
   }
   asio::async_write(this->socket, asio::buffer(this->write_buffer),
                     [self = this->shared_from_this(), length](
                         std::error_code error, std::size_t sent) {
                       self->writing = false;
-                      if (self->tally != nullptr) {
-                        Raise(self->tally->sent_bytes, sent);
-                        Lower(self->tally->unsent_bytes, length);
+                      if (self->counters != nullptr) {
+                        Increase(self->counters->sent_bytes, sent);
+                        Decrease(self->counters->unsent_bytes, length);
                         self->unsent_bytes -= length;
                       }
                       if (error) {
@@ -314,7 +314,7 @@
           return;
         }
         self->last_heard = MonotonicNow();
-        Raise(self->tally->received_bytes, length);
+        Increase(self->counters->received_bytes, length);
         const ssize_t used = nghttp2_session_mem_recv(
             self->session,
             reinterpret_cast<const std::uint8_t*>(self->read_buffer.data()),
@@ -335,7 +335,7 @@
     return;
   }
   this->closed = true;
-  this->LeaveTally();
+  this->ReleaseCounters();
   std::error_code ignored;
   this->socket.close(ignored);
   if (this->callbacks.on_closed) {
--- a/src/transport/internal/http2session.h
+++ b/src/transport/internal/http2session.h
@@ -13,7 +13,7 @@
 #include <string_view>
 
 #include "global/timepoint.h"
-#include "transport/internal/transporttally.h"
+#include "transport/internal/transportcounters.h"
 
 namespace papayarack::transport {
 
@@ -27,72 +27,74 @@
     std::function<void(std::int32_t stream)> on_headers_end;
     std::function<void(std::int32_t stream, std::string_view bytes)> on_data;
     std::function<void(std::int32_t stream)>
-        on_stream_end;  ///< The peer sent its last byte.
+        on_stream_end;  ///< The peer sent END_STREAM.
     std::function<void(std::int32_t stream, std::uint32_t error)>
         on_stream_close;
-    std::function<void()> on_closed;  ///< The connection is gone; called once.
+    std::function<void()> on_closed;  ///< The connection closed; called once.
     std::function<void(std::int32_t last_stream)> on_goaway;
   };
 
-  /// `tally` gets what this connection moves.
+  /// `counters` records the traffic of this connection.
   Http2Session(asio::ip::tcp::socket socket, Side side, Callbacks callbacks,
-               std::shared_ptr<TransportTally> tally);
+               std::shared_ptr<TransportCounters> counters);
   ~Http2Session();
   Http2Session(const Http2Session&) = delete;
   Http2Session& operator=(const Http2Session&) = delete;
 
-  /// Begins reading; call once, after construction in a shared_ptr.
+  /// Starts reading; call once, after construction in a shared_ptr.
   void Start();
-  /// Client: opens a request stream. Negative when the session takes no more.
+  /// Client: opens a request stream. Not positive when the session accepts no
+  /// more streams.
   std::int32_t OpenRequest(std::string_view path, std::string body);
-  /// Server: opens the answer on a stream.
+  /// Server: starts the response on a stream.
   void StartResponse(std::int32_t stream);
-  /// Server: adds answer bytes; with `last` the stream ends after them.
+  /// Server: appends response bytes; with `last` the stream ends after them.
   void AddBody(std::int32_t stream, std::string_view bytes, bool last);
   void ResetStream(std::int32_t stream, std::uint32_t error);
   void SendPing();
   void SendGoaway();
   /// Path of a request stream (server side).
   std::string_view PathOf(std::int32_t stream) const;
-  /// Sends what is queued; call after a group of the methods above.
+  /// Sends queued frames; call after a group of the methods above.
   void Flush();
-  /// Drops the connection.
+  /// Closes the connection.
   void Close();
   Time LastHeard() const { return this->last_heard; }
   bool Closed() const { return this->closed; }
 
  private:
-  /// Bytes that one stream still has to send.
+  /// Unsent bytes of one stream.
   struct Outgoing {
     std::string bytes;
     std::size_t sent = 0;
     bool last = false;
     std::string path;
-    PathTally* tally = nullptr;  ///< Null until there was a message.
+    PathCounters* counters = nullptr;  ///< Null before the first message.
   };
   friend struct Http2Hooks;
 
   void Read();
   void Write();
   std::string CollectOutput();
-  /// A whole message begins to wait on the stream.
+  /// Counts a message queued on the stream.
   void CountMessage(Outgoing& out, std::string_view path, std::size_t bytes);
-  /// Message bytes of the stream wait no more: they went into the write buffer
-  /// or were dropped.
-  void CountTaken(const Outgoing& out, std::size_t bytes);
-  /// Nothing waits any more: the connection is gone.
-  void LeaveTally();
+  /// Counts message bytes that left the stream's queue: copied to the write
+  /// buffer or discarded.
+  void CountDequeued(const Outgoing& out, std::size_t bytes);
+  /// Subtracts this connection from the counters when it closes.
+  void ReleaseCounters();
 
   asio::ip::tcp::socket socket;
   Callbacks callbacks;
   nghttp2_session* session = nullptr;
   std::map<std::int32_t, Outgoing> outgoing;
-  /// Small, as each of some hundred connections holds one.
+  /// Small, as each of several hundred connections has one.
   std::array<char, std::size_t{16} * 1024> read_buffer{};
   std::string write_buffer;
-  /// Null once the connection is gone.
-  std::shared_ptr<TransportTally> tally;
-  /// Of this connection in the tally: message bytes and the write buffer.
+  /// Null after the connection closed.
+  std::shared_ptr<TransportCounters> counters;
+  /// This connection's share of the counter: queued message bytes and the write
+  /// buffer.
   std::uint64_t unsent_bytes = 0;
   bool writing = false;
   bool closed = false;
--- a/src/transport/internal/ownloop.h
+++ b/src/transport/internal/ownloop.h
@@ -8,8 +8,8 @@
 
 namespace papayarack::transport {
 
-/// The loop that a client or server runs on: the owner's, or one of its own
-/// with a thread. Thread safety: none but Post, any thread.
+/// The event loop of a client or server: the owner's, or its own with a thread.
+/// Thread safety: none.
 class Loop {
  public:
   Loop()
@@ -20,15 +20,15 @@
 
   asio::io_context& context() { return this->used; }
 
-  /// Starts the thread, where the loop is an own one.
+  /// Starts the thread if the loop is its own.
   void Start() {
     if (this->own != nullptr) {
       this->thread = std::thread([this] { this->own->run(); });
     }
   }
 
-  /// Runs `last` on the loop and, where the loop is an own one, waits for the
-  /// thread to end.
+  /// Runs `last` on the loop; if the loop is its own, also waits for the thread
+  /// to end.
   template <typename Function>
   void Stop(Function last) {
     if (this->own == nullptr) {
@@ -44,7 +44,8 @@
 
  private:
   std::unique_ptr<asio::io_context> own;
-  /// Only for an own loop: giving a guard back ends a loop without other work.
+  /// Only for a loop of its own: releasing a work guard of a shared loop would
+  /// stop it when it has no other work.
   std::optional<asio::executor_work_guard<asio::io_context::executor_type>>
       work;
   asio::io_context& used;
--- a/src/transport/internal/peerclient.cpp
+++ b/src/transport/internal/peerclient.cpp
@@ -13,13 +13,13 @@
 #include "global/messagecodec.h"
 #include "transport/internal/http2session.h"
 #include "transport/internal/ownloop.h"
-#include "transport/internal/transporttally.h"
+#include "transport/internal/transportcounters.h"
 
 namespace papayarack::transport {
 namespace {
 
-/// Enough for the longest connect timeout that anybody would set.
-constexpr std::uint32_t kMostDoublings = 10;
+/// Enough to reach any reasonable maximum connect timeout.
+constexpr std::uint32_t kMaxDoublings = 10;
 
 }  // namespace
 
@@ -30,20 +30,20 @@
     std::string body;
     CallHandlers handlers;
     MessageSplitter splitter;
-    std::int32_t stream = 0;  ///< Zero until it was given to a session.
+    std::int32_t stream = 0;  ///< Zero until a stream was opened.
     std::uint64_t session = 0;
-    bool ended_whole = false;
+    bool complete = false;
   };
-  /// One connection to one address, being made or in use.
+  /// One connection to one address, being established or in use.
   struct Link {
     std::string address;
     std::shared_ptr<Http2Session> session;
     std::shared_ptr<asio::ip::tcp::socket> socket;
-    std::vector<CallId> waiting;  ///< Calls until the connection stands.
+    std::vector<CallId> waiting;  ///< Calls until it is established.
     std::map<std::int32_t, CallId> streams;
     Time started{};
     std::shared_ptr<asio::steady_timer> connect_timer;
-    bool draining = false;  ///< The peer takes no new streams here.
+    bool draining = false;  ///< The peer accepts no new streams.
   };
 
   template <typename... Shared>
@@ -78,10 +78,10 @@
     });
   }
 
-  /// Symptom guarded against: calls on an old connection hang for good while
-  /// new connections to the same peer work, because something between the two
-  /// forgot the old one. Noticed by PING without answer. The connection is
-  /// dropped, its calls end as lost, new calls connect anew.
+  /// Closes connections whose PING is not answered. If a device on the path
+  /// loses the state of an old connection, its calls would hang forever while
+  /// new connections to the same peer work. Calls on the closed connection end
+  /// as lost; new calls connect again.
   void CheckLinks() {
     const Time now = MonotonicNow();
     std::vector<std::uint64_t> silent;
@@ -148,7 +148,7 @@
       this->DropLink(link_id);
       return;
     }
-    this->BoundConnect(link_id);
+    this->StartConnectTimer(link_id);
     const auto socket = link.socket;
     socket->async_connect(
         {address, peer.port},
@@ -164,17 +164,18 @@
         });
   }
 
-  void BoundConnect(std::uint64_t link_id) {
+  void StartConnectTimer(std::uint64_t link_id) {
     Link& link = this->links.at(link_id);
-    std::chrono::milliseconds bound = this->options.connect_timeout;
+    std::chrono::milliseconds attempt_timeout = this->options.connect_timeout;
     const auto timeouts = this->connect_timeouts.find(link.address);
     for (std::uint32_t i = 0;
          timeouts != this->connect_timeouts.end() && i < timeouts->second;
          ++i) {
-      bound = std::min(bound * 2, this->options.longest_connect_timeout);
+      attempt_timeout =
+          std::min(attempt_timeout * 2, this->options.max_connect_timeout);
     }
     link.connect_timer =
-        std::make_shared<asio::steady_timer>(this->context, bound);
+        std::make_shared<asio::steady_timer>(this->context, attempt_timeout);
     link.connect_timer->async_wait(
         [this, link_id, alive = this->alive](std::error_code error) {
           if (error || !*alive || this->links.count(link_id) == 0) {
@@ -182,7 +183,7 @@
           }
           std::uint32_t& count =
               this->connect_timeouts[this->links.at(link_id).address];
-          count = std::min(count + 1, kMostDoublings);
+          count = std::min(count + 1, kMaxDoublings);
           this->DropLink(link_id);
         });
   }
@@ -195,7 +196,7 @@
     };
     callbacks.on_stream_end = [this, link_id](std::int32_t stream) {
       if (Pending* call = this->Find(link_id, stream)) {
-        call->ended_whole = true;
+        call->complete = true;
       }
     };
     callbacks.on_stream_close = [this, link_id](std::int32_t stream,
@@ -224,7 +225,7 @@
          {"took_ms", (MonotonicNow() - link.started).count() / 1000}});
     link.session = std::make_shared<Http2Session>(
         std::move(socket), Http2Session::Side::kClient, std::move(callbacks),
-        this->tally);
+        this->counters);
     link.session->Start();
     for (const CallId id : std::exchange(link.waiting, {})) {
       if (this->calls.count(id) > 0) {
@@ -282,17 +283,17 @@
     if (call == this->calls.end()) {
       return;
     }
-    // REFUSED_STREAM is the protocol's own word for "not processed".
+    // REFUSED_STREAM means in HTTP/2 that the request was not processed.
     if (error == NGHTTP2_REFUSED_STREAM) {
       this->End(id, CallEnd::kNotSent);
     } else {
       this->End(id,
-                call->second.ended_whole ? CallEnd::kFinished : CallEnd::kLost);
+                call->second.complete ? CallEnd::kFinished : CallEnd::kLost);
     }
   }
 
-  /// A line for each connection that ends, but one only for a row of attempts
-  /// that fail: they come several times a second while a peer is down.
+  /// Logs each connection that ends, but only the first of consecutive failed
+  /// attempts: they come several times a second while a peer is down.
   void LogEnd(const Link& link) {
     if (this->stopping) {
       return;
@@ -346,7 +347,7 @@
     if (found == this->calls.end()) {
       return;
     }
-    this->tally->CountCancelled(found->second.path);
+    this->counters->CountCancelled(found->second.path);
     const std::int32_t stream = found->second.stream;
     const auto link = this->links.find(found->second.session);
     if (stream > 0 && link != this->links.end() &&
@@ -358,21 +359,22 @@
   }
 
   PeerClientOptions options;
-  std::shared_ptr<TransportTally> tally = std::make_shared<TransportTally>();
+  std::shared_ptr<TransportCounters> counters =
+      std::make_shared<TransportCounters>();
   Loop loop;
   asio::io_context& context{loop.context()};
   asio::steady_timer timer;
   std::map<std::uint64_t, Link> links;
   std::map<CallId, Pending> calls;
-  /// Attempts in a row that timed out, by address.
+  /// Consecutive attempts that timed out, by address.
   std::map<std::string, std::uint32_t> connect_timeouts;
-  /// Addresses whose last attempt failed.
+  /// Addresses whose last connection attempt failed.
   std::set<std::string> unreachable;
   std::atomic<CallId> last_call = 0;
   std::uint64_t last_link = 0;
   bool stopping = false;
-  /// False once the client is gone, for completions that a shared loop still
-  /// has to run.
+  /// False after destruction, for completion handlers still queued on a shared
+  /// loop.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
@@ -446,7 +448,7 @@
 }
 
 TransportTotals PeerClient::Totals() const {
-  return this->impl->tally->Totals();
+  return this->impl->counters->Totals();
 }
 
 }  // namespace papayarack::transport
--- a/src/transport/internal/peerserver.cpp
+++ b/src/transport/internal/peerserver.cpp
@@ -12,23 +12,24 @@
 #include "global/messagecodec.h"
 #include "transport/internal/http2session.h"
 #include "transport/internal/ownloop.h"
-#include "transport/internal/transporttally.h"
+#include "transport/internal/transportcounters.h"
 
 namespace papayarack::transport {
 namespace {
 
-/// A silent connection is dropped up to this part of the bound later.
-constexpr int kLooksInSilence = 5;
+/// Checks for silence in each silent_after; a silent connection is closed late
+/// by up to this fraction of it.
+constexpr int kChecksPerTimeout = 5;
 
 }  // namespace
 
 struct PeerServer::Impl {
-  /// Where a stream lives: which connection, which HTTP/2 stream.
-  struct Place {
+  /// The connection and HTTP/2 stream of a request.
+  struct StreamLocation {
     std::uint64_t connection = 0;
     std::int32_t stream = 0;
   };
-  /// One request as it arrives.
+  /// One request being received.
   struct Incoming {
     StreamId id = 0;
     std::string body;
@@ -51,7 +52,7 @@
     ListenOn(this->acceptor, listen);
     this->bound_port = this->acceptor.local_endpoint().port();
     this->Accept();
-    this->WatchSilence();
+    this->ScheduleSilenceCheck();
     this->loop.Start();
   }
 
@@ -61,19 +62,19 @@
       this->stopping = true;
       this->acceptor.close();
       this->timer.cancel();
-      auto doomed = std::exchange(this->connections, {});
-      for (auto& [id, connection] : doomed) {
+      auto closing = std::exchange(this->connections, {});
+      for (auto& [id, connection] : closing) {
         connection.session->Close();
       }
     });
   }
 
-  void WatchSilence() {
-    this->timer.expires_after(this->options.silent_after / kLooksInSilence);
+  void ScheduleSilenceCheck() {
+    this->timer.expires_after(this->options.silent_after / kChecksPerTimeout);
     this->timer.async_wait([this, alive = this->alive](std::error_code error) {
       if (!error && *alive && !this->stopping) {
         this->DropSilent();
-        this->WatchSilence();
+        this->ScheduleSilenceCheck();
       }
     });
   }
@@ -104,19 +105,20 @@
             return;
           }
           if (error) {
-            // Out of descriptors or a peer that left in the queue: without
-            // another accept this process would be deaf for good.
+            // No file descriptor was free, or the peer disconnected while
+            // queued. Without another accept this process would never accept a
+            // connection again.
             if (this->acceptor.is_open()) {
               this->Accept();
             }
             return;
           }
-          this->Adopt(std::move(socket));
+          this->AddConnection(std::move(socket));
           this->Accept();
         });
   }
 
-  void Adopt(asio::ip::tcp::socket socket) {
+  void AddConnection(asio::ip::tcp::socket socket) {
     const std::uint64_t id = ++this->last_connection;
     Http2Session::Callbacks callbacks;
     callbacks.on_data = [this, id](std::int32_t stream,
@@ -128,15 +130,15 @@
     };
     callbacks.on_stream_close = [this, id](std::int32_t stream,
                                            std::uint32_t error) {
-      this->Forget(id, stream, error);
+      this->OnStreamClose(id, stream, error);
     };
-    callbacks.on_closed = [this, id] { this->Lose(id); };
+    callbacks.on_closed = [this, id] { this->OnConnectionClosed(id); };
     std::error_code gone;
     const auto remote = socket.remote_endpoint(gone);
     this->connections[id].peer = gone ? "" : remote.address().to_string();
     auto session = std::make_shared<Http2Session>(
         std::move(socket), Http2Session::Side::kServer, std::move(callbacks),
-        this->tally);
+        this->counters);
     this->connections[id].session = session;
     session->Start();
   }
@@ -146,20 +148,19 @@
     Incoming& incoming = owner.streams[stream];
     incoming.id = ++this->last_stream;
     incoming.delivered = true;
-    this->places[incoming.id] = {connection, stream};
-    this->open_streams = this->places.size();
+    this->stream_locations[incoming.id] = {connection, stream};
+    this->open_streams = this->stream_locations.size();
     owner.session->StartResponse(stream);
     this->handlers.on_request(incoming.id, owner.session->PathOf(stream),
                               std::move(incoming.body));
   }
 
-  /// A stream that closes before our side finished it was reset by the
-  /// requester.
-  /// One that our side finished but that closes with an error was reset while
-  /// bytes of its answer waited here; the owner's work is done, so only the
-  /// figures hear of it.
-  void Forget(std::uint64_t connection, std::int32_t stream,
-              std::uint32_t error) {
+  /// A stream that closes before the server finished it was reset by the
+  /// client. A finished stream that closes with an error was reset while bytes
+  /// of its response were unsent; the handler's work is done, so this is only
+  /// counted.
+  void OnStreamClose(std::uint64_t connection, std::int32_t stream,
+                     std::uint32_t error) {
     const auto owner = this->connections.find(connection);
     if (owner == this->connections.end()) {
       return;
@@ -173,36 +174,36 @@
     if (!incoming.delivered) {
       return;
     }
-    const bool open = this->places.erase(incoming.id) > 0;
+    const bool open = this->stream_locations.erase(incoming.id) > 0;
     if (open || error != NGHTTP2_NO_ERROR) {
-      this->tally->CountCancelled(owner->second.session->PathOf(stream));
+      this->counters->CountCancelled(owner->second.session->PathOf(stream));
     }
     if (open) {
-      this->open_streams = this->places.size();
+      this->open_streams = this->stream_locations.size();
       this->handlers.on_cancel(incoming.id);
     }
   }
 
-  void Lose(std::uint64_t connection) {
+  void OnConnectionClosed(std::uint64_t connection) {
     const auto owner = this->connections.find(connection);
     if (owner == this->connections.end()) {
       return;
     }
     const auto streams = std::move(owner->second.streams);
     const auto session = owner->second.session;
-    // The session is still on the call stack; let it go afterwards.
+    // The session is still on the call stack; release it later.
     asio::post(this->context, [session] {});
     this->connections.erase(owner);
     for (const auto& [stream, incoming] : streams) {
       if (!incoming.delivered) {
         continue;
       }
-      this->tally->CountCancelled(session->PathOf(stream));
-      if (this->places.erase(incoming.id) > 0) {
+      this->counters->CountCancelled(session->PathOf(stream));
+      if (this->stream_locations.erase(incoming.id) > 0) {
         this->handlers.on_cancel(incoming.id);
       }
     }
-    this->open_streams = this->places.size();
+    this->open_streams = this->stream_locations.size();
   }
 
   void Write(StreamId id, std::string bytes, bool last) {
@@ -211,19 +212,19 @@
       if (!*alive) {
         return;
       }
-      const auto place = this->places.find(id);
-      if (place == this->places.end()) {
+      const auto location = this->stream_locations.find(id);
+      if (location == this->stream_locations.end()) {
         return;
       }
-      const auto owner = this->connections.find(place->second.connection);
+      const auto owner = this->connections.find(location->second.connection);
       if (owner == this->connections.end()) {
         return;
       }
       const auto session = owner->second.session;
-      const std::int32_t stream = place->second.stream;
+      const std::int32_t stream = location->second.stream;
       if (last) {
-        this->places.erase(place);
-        this->open_streams = this->places.size();
+        this->stream_locations.erase(location);
+        this->open_streams = this->stream_locations.size();
       }
       session->AddBody(stream, bytes, last);
       session->Flush();
@@ -232,20 +233,21 @@
 
   PeerServerHandlers handlers;
   PeerServerOptions options;
-  std::shared_ptr<TransportTally> tally = std::make_shared<TransportTally>();
+  std::shared_ptr<TransportCounters> counters =
+      std::make_shared<TransportCounters>();
   Loop loop;
   asio::io_context& context{loop.context()};
   asio::ip::tcp::acceptor acceptor;
   asio::steady_timer timer;
   std::uint16_t bound_port = 0;
   std::map<std::uint64_t, Connection> connections;
-  std::map<StreamId, Place> places;
+  std::map<StreamId, StreamLocation> stream_locations;
   std::atomic<std::size_t> open_streams = 0;
   std::uint64_t last_connection = 0;
   StreamId last_stream = 0;
   bool stopping = false;
-  /// False once the server is gone, for completions that a shared loop still
-  /// has to run.
+  /// False after destruction, for completion handlers still queued on a shared
+  /// loop.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
@@ -282,7 +284,7 @@
 std::size_t PeerServer::OpenStreams() const { return this->impl->open_streams; }
 
 TransportTotals PeerServer::Totals() const {
-  return this->impl->tally->Totals();
+  return this->impl->counters->Totals();
 }
 
 }  // namespace papayarack::transport
--- a/src/transport/peerdispatch.h
+++ b/src/transport/peerdispatch.h
@@ -13,8 +13,8 @@
 
 namespace papayarack::transport {
 
-/// Spreads the requests of one PeerServer over the parts of a process by path.
-/// Thread safety: none, the loop's thread.
+/// Routes the requests of one PeerServer to handlers by path. Thread safety:
+/// none, the loop's thread.
 class PeerDispatch {
  public:
   using Handler = std::function<void(StreamId stream, std::string body)>;
@@ -22,17 +22,19 @@
   void On(const std::string& path, Handler handler) {
     this->handlers[path] = std::move(handler);
   }
-  /// Every part hears of every stream that its requester gave up; it ignores
-  /// those that are not its own.
+  /// Registers a handler for cancelled streams. Every handler is called for
+  /// every cancelled stream and must ignore those it does not own.
   void OnCancel(std::function<void(StreamId)> handler) {
     this->cancels.push_back(std::move(handler));
   }
 
-  /// Precondition: `server` outlives the handlers' calls.
+  /// Handlers to construct the server with. Precondition: `server` outlives
+  /// their calls.
   PeerServerHandlers For(PeerServer*& server) {
-    PeerServerHandlers wanted;
-    wanted.on_request = [this, &server](StreamId stream, std::string_view path,
-                                        std::string body) {
+    PeerServerHandlers server_handlers;
+    server_handlers.on_request = [this, &server](StreamId stream,
+                                                 std::string_view path,
+                                                 std::string body) {
       const auto found = this->handlers.find(std::string(path));
       if (found == this->handlers.end()) {
         server->Finish(stream);
@@ -46,12 +48,12 @@
         server->Finish(stream);
       }
     };
-    wanted.on_cancel = [this](StreamId stream) {
+    server_handlers.on_cancel = [this](StreamId stream) {
       for (const auto& cancel : this->cancels) {
         cancel(stream);
       }
     };
-    return wanted;
+    return server_handlers;
   }
 
  private:
--- a/src/transport/peerserver.h
+++ b/src/transport/peerserver.h
@@ -18,59 +18,58 @@
 
 namespace papayarack::transport {
 
-/// Names one request stream of one connection for the life of the server.
+/// Identifies one request stream; unique for the lifetime of the server.
 using StreamId = std::uint64_t;
 
-/// What a server tells its owner; all three run on the server's own I/O thread
-/// and must not wait for anything.
+/// Callbacks of a server; they run on its I/O thread and must not block.
 struct PeerServerHandlers {
-  /// A whole request arrived. Answer it with Send and Finish, in any order
-  /// among streams.
+  /// A complete request arrived. Answer it with Send and Finish; streams may be
+  /// answered in any order.
   std::function<void(StreamId, std::string_view path, std::string body)>
       on_request;
-  /// The requester reset the stream or its connection is gone: stop the work.
+  /// The client reset the stream or its connection closed: stop the work.
   std::function<void(StreamId)> on_cancel;
 };
 
 struct PeerServerOptions {
-  /// A connection without a byte for this long is dropped, which cancels its
-  /// requests. A client that lives sends a PING after each second without one
-  /// (PeerClientOptions). Symptom guarded against: an entry's VM loses power;
-  /// nothing says so to the gates, whose slots stay taken by its requests until
-  /// it is back.
+  /// A connection that receives no byte for this long is closed, which cancels
+  /// its requests. A live client sends a PING after each second without traffic
+  /// (PeerClientOptions). Without this timeout, requests of an entry whose VM
+  /// lost power would keep their slots at the gates until it is back, as
+  /// nothing reports the loss.
   std::chrono::milliseconds silent_after{2500};
 };
 
-/// Accepts nghttp2 connections of other papayarack processes on one I/O thread.
+/// Accepts HTTP/2 connections of other papayarack processes on one I/O thread.
 /// Thread safety: every method, any thread.
 class PeerServer {
  public:
-  /// Binds at once. Throws ResultError(kBadInput) when the address cannot be
-  /// bound.
+  /// Binds immediately. Throws ResultError(kBadInput) when the address cannot
+  /// be bound.
   PeerServer(const Endpoint& listen, PeerServerHandlers handlers,
              PeerServerOptions options = {});
-  /// The same on the owner's loop, with no thread of its own. Precondition:
-  /// `context` outlives the server, which is made and destroyed on that loop's
-  /// thread (or while it does not run).
+  /// Runs on the owner's event loop instead of its own thread. Precondition:
+  /// `context` outlives the server, which is constructed and destroyed on that
+  /// loop's thread (or while it does not run).
   PeerServer(asio::io_context& context, const Endpoint& listen,
              PeerServerHandlers handlers, PeerServerOptions options = {});
   ~PeerServer();
   PeerServer(const PeerServer&) = delete;
   PeerServer& operator=(const PeerServer&) = delete;
 
-  /// Sends one message on the stream; ignored when the stream is gone.
+  /// Sends one message on the stream; ignored when the stream is closed.
   void Send(StreamId stream, std::string_view message);
-  /// Ends the stream after all that was sent.
+  /// Ends the stream after all messages were sent.
   void Finish(StreamId stream);
-  /// Port in use; useful when the settings asked for port 0.
+  /// The bound port; useful when the settings specify port 0.
   std::uint16_t port() const;
-  /// Stops accepting and tells every peer that the connection takes no new
-  /// streams; streams that are open go on.
+  /// Stops accepting connections and sends GOAWAY on the open ones; open
+  /// streams continue.
   void BeginLeave();
   /// Number of open streams.
   std::size_t OpenStreams() const;
-  /// Bytes, connections and answers by path since the start; each figure is
-  /// exact, but they are read one after the other.
+  /// Bytes, connections and responses by path since the start. Each value is
+  /// exact, but they are not read atomically together.
   TransportTotals Totals() const;
 
  private:
--- a/src/transport/tests/transport_tests.cpp
+++ b/src/transport/tests/transport_tests.cpp
@@ -10,7 +10,7 @@
 namespace papayarack::transport {
 namespace {
 
-constexpr std::chrono::seconds kPatience{20};
+constexpr std::chrono::seconds kTimeout{20};
 
 struct Seen {
   StreamId stream = 0;
@@ -48,43 +48,43 @@
 
 }  // namespace
 
-TEST_CASE("two processes talk") {
+TEST_CASE("a client sends a request to a server") {
   Server server;
   PeerClient client;
   Caller caller;
   const CallId call = client.Call(server.endpoint(), "/echo",
                                   std::string(100000, 'x'), caller.Handlers());
-  const auto request = server.seen.Pop(kPatience);
+  const auto request = server.seen.Pop(kTimeout);
   REQUIRE(request.has_value());
   CHECK(request->path == "/echo");
   CHECK(request->body.size() == 100000);
 
-  SECTION("and the answer streams back message by message, then ends whole") {
+  SECTION("the response arrives message by message, then completes") {
     server.server.Send(request->stream, "one");
-    CHECK(caller.messages.Pop(kPatience) == "one");
+    CHECK(caller.messages.Pop(kTimeout) == "one");
     server.server.Send(request->stream, "two");
     server.server.Finish(request->stream);
-    CHECK(caller.messages.Pop(kPatience) == "two");
+    CHECK(caller.messages.Pop(kTimeout) == "two");
     CHECK(caller.end.get_future().get() == CallEnd::kFinished);
   }
-  SECTION("and a caller that gives up cancels the work") {
+  SECTION("a call cancelled by the client cancels the request") {
     client.Cancel(call);
     CHECK(caller.end.get_future().get() == CallEnd::kLost);
-    const auto cancelled = server.seen.Pop(kPatience);
+    const auto cancelled = server.seen.Pop(kTimeout);
     REQUIRE(cancelled.has_value());
     CHECK(cancelled->cancelled);
     CHECK(cancelled->stream == request->stream);
   }
-  SECTION("and a leaving server finishes what is open") {
+  SECTION("a server that shuts down finishes open streams") {
     server.server.BeginLeave();
     server.server.Send(request->stream, "still here");
     server.server.Finish(request->stream);
-    CHECK(caller.messages.Pop(kPatience) == "still here");
+    CHECK(caller.messages.Pop(kTimeout) == "still here");
     CHECK(caller.end.get_future().get() == CallEnd::kFinished);
   }
 }
 
-TEST_CASE("nobody listens: the call is reported as not sent") {
+TEST_CASE("a call to a port without a listener ends as not sent") {
   std::uint16_t port = 0;
   {
     Server gone;
@@ -96,36 +96,35 @@
   CHECK(caller.end.get_future().get() == CallEnd::kNotSent);
 }
 
-// Symptom: calls on one connection hang for good while new connections work.
-// Sequence: a listener accepts and then never reads or answers; a call is made.
-// Cause: something between the two ends lost track of the connection; no reset
-// ever comes.
-TEST_CASE(
-    "a connection that falls silent is dropped and its calls end as lost") {
+// Calls on one connection hang forever while new connections work. A device on
+// the path loses the state of the connection, so no data and no reset arrive.
+// Here, a listener accepts and never reads or answers.
+TEST_CASE("a silent connection is closed and its calls end as lost") {
   asio::io_context context;
-  asio::ip::tcp::acceptor mute(context,
-                               {asio::ip::make_address("127.0.0.1"), 0});
+  asio::ip::tcp::acceptor silent(context,
+                                 {asio::ip::make_address("127.0.0.1"), 0});
   PeerClientOptions options;
   options.ping_after = std::chrono::milliseconds(40);
   options.silent_after = std::chrono::milliseconds(120);
   PeerClient client(options);
   Caller caller;
-  client.Call({"127.0.0.1", mute.local_endpoint().port()}, "/x", "",
+  client.Call({"127.0.0.1", silent.local_endpoint().port()}, "/x", "",
               caller.Handlers());
   CHECK(caller.end.get_future().get() == CallEnd::kLost);
 }
 
-// Symptom: a call takes a second longer than its peer needs. Sequence: the
-// opening packet of a connection is lost, as the peer's VM is not up yet; the
-// kernel sends it again after a second. Cause: the attempt waited for that. A
-// listener whose backlog is full drops opening packets in the same way.
-TEST_CASE("a connection that is not made soon is tried anew") {
+// A call takes a second longer than its peer needs. The SYN packet is lost as
+// the peer's VM is not up yet, and the attempt waits for the kernel to
+// retransmit it after a second. A listener whose backlog is full drops SYN
+// packets as well.
+TEST_CASE("a connection attempt that times out is retried") {
   asio::io_context context;
   asio::ip::tcp::acceptor full(context);
   full.open(asio::ip::tcp::v4());
   full.bind({asio::ip::make_address("127.0.0.1"), 0});
   full.listen(0);
-  // The first fills the backlog; a connect that waits would never return.
+  // The first connection fills the backlog; a blocking connect would never
+  // return.
   std::vector<asio::ip::tcp::socket> fillers;
   for (int i = 0; i < 2; ++i) {
     fillers.emplace_back(context).async_connect(full.local_endpoint(),
@@ -133,7 +132,7 @@
   }
   PeerClientOptions options;
   options.connect_timeout = std::chrono::milliseconds(50);
-  options.longest_connect_timeout = std::chrono::milliseconds(100);
+  options.max_connect_timeout = std::chrono::milliseconds(100);
   PeerClient client(options);
   const auto begin = std::chrono::steady_clock::now();
   for (int i = 0; i < 3; ++i) {
@@ -147,49 +146,48 @@
   CHECK(took < std::chrono::milliseconds(900));
 }
 
-// Symptom: what a process holds for another is never given back. Sequence: a
-// request is open; the requester's VM loses power, so that no byte and no reset
-// ever come. Cause: only the requester looked for silence.
-TEST_CASE("a requester that falls silent has its requests cancelled") {
-  PeerServerOptions impatient;
-  impatient.silent_after = std::chrono::milliseconds(150);
-  Server server(impatient);
+// Resources held for a request are never released. The client's VM loses power
+// while the request is open, so no data and no reset arrive, and only the
+// client checked for silence.
+TEST_CASE("the requests of a silent client are cancelled") {
+  PeerServerOptions server_options;
+  server_options.silent_after = std::chrono::milliseconds(150);
+  Server server(server_options);
   PeerClientOptions options;
   Caller caller;
-  SECTION("one that sends nothing at all") {
+  SECTION("a client that sends nothing at all") {
     options.ping_after = std::chrono::milliseconds(10000);
     options.silent_after = std::chrono::milliseconds(20000);
     PeerClient client(options);
     client.Call(server.endpoint(), "/x", "", caller.Handlers());
-    REQUIRE(server.seen.Pop(kPatience).has_value());
-    const auto cancelled = server.seen.Pop(kPatience);
+    REQUIRE(server.seen.Pop(kTimeout).has_value());
+    const auto cancelled = server.seen.Pop(kTimeout);
     REQUIRE(cancelled.has_value());
     CHECK(cancelled->cancelled);
   }
-  SECTION("not one that has nothing to say but lives") {
+  SECTION("a client that sends only PING keeps its requests") {
     options.ping_after = std::chrono::milliseconds(40);
     PeerClient client(options);
     client.Call(server.endpoint(), "/x", "", caller.Handlers());
-    REQUIRE(server.seen.Pop(kPatience).has_value());
+    REQUIRE(server.seen.Pop(kTimeout).has_value());
     CHECK_FALSE(server.seen.Pop(std::chrono::milliseconds(500)).has_value());
   }
 }
 
-// Symptom: a caller waits for an answer that cannot come.
-// Sequence: a request is in progress; the server process goes away.
-// Cause: the connection closes before the stream ended.
+// A caller waits for a response that cannot arrive. The server process stops
+// during a request, so the connection closes before the stream ended.
 TEST_CASE(
-    "a server that goes away in mid-answer: the call ends as lost, never as "
-    "whole") {
+    "a call ends as lost, not as finished, when its server stops during "
+    "the response") {
   PeerClient client;
   Caller caller;
   {
     Server server;
     client.Call(server.endpoint(), "/x", "", caller.Handlers());
-    const auto request = server.seen.Pop(kPatience);
+    const auto request = server.seen.Pop(kTimeout);
     REQUIRE(request.has_value());
     server.server.Send(request->stream, "half");
-    REQUIRE(caller.messages.Pop(kPatience) == "half");
+    REQUIRE(caller.messages.Pop(kTimeout) == "half");
   }
   CHECK(caller.end.get_future().get() == CallEnd::kLost);
 }
--- a/src/transport/tests/transporttotals_tests.cpp
+++ b/src/transport/tests/transporttotals_tests.cpp
@@ -3,16 +3,16 @@
 #include <thread>
 
 #include "global/boundedring.h"
-#include "transport/backlogwatch.h"
+#include "transport/backlogmonitor.h"
 #include "transport/peerclient.h"
 #include "transport/peerserver.h"
 
 namespace papayarack::transport {
 namespace {
 
-constexpr std::chrono::seconds kPatience{20};
+constexpr std::chrono::seconds kTimeout{20};
 constexpr std::chrono::seconds kNever{600};
-constexpr std::size_t kPrefix = 4;  ///< Length in front of each message.
+constexpr std::size_t kPrefix = 4;  ///< Length before each message.
 
 struct Arrived {
   StreamId stream = 0;
@@ -34,7 +34,7 @@
 
 template <typename Condition>
 bool Eventually(const Condition& condition) {
-  const auto end = std::chrono::steady_clock::now() + kPatience;
+  const auto end = std::chrono::steady_clock::now() + kTimeout;
   while (std::chrono::steady_clock::now() < end) {
     if (condition()) {
       return true;
@@ -53,10 +53,10 @@
   return {};
 }
 
-/// A client that reads only while it is told to.
+/// A client that reads only inside ReadUntil.
 struct SlowClient {
-  SlowClient() : client(this->context, Patient()) {}
-  static PeerClientOptions Patient() {
+  SlowClient() : client(this->context, NoTimeouts()) {}
+  static PeerClientOptions NoTimeouts() {
     PeerClientOptions options;
     options.ping_after = kNever;
     options.silent_after = kNever;
@@ -64,7 +64,7 @@
   }
   template <typename Condition>
   bool ReadUntil(const Condition& condition) {
-    const auto end = std::chrono::steady_clock::now() + kPatience;
+    const auto end = std::chrono::steady_clock::now() + kTimeout;
     while (!condition() && std::chrono::steady_clock::now() < end) {
       this->context.run_one_for(std::chrono::milliseconds(5));
     }
@@ -76,7 +76,7 @@
 
 }  // namespace
 
-TEST_CASE("both ends count what they move, the server by path") {
+TEST_CASE("client and server count their traffic, also by path") {
   Server server;
   PeerClient client;
   BoundedRing<std::string> messages{4};
@@ -85,12 +85,12 @@
                  messages.TryPush(std::move(message));
                },
                {}});
-  const auto request = server.arrived.Pop(kPatience);
+  const auto request = server.arrived.Pop(kTimeout);
   REQUIRE(request.has_value());
   server.server.Send(request->stream, std::string(50000, 'y'));
   server.server.Send(request->stream, std::string(3000, 'y'));
-  REQUIRE(messages.Pop(kPatience).has_value());
-  REQUIRE(messages.Pop(kPatience).has_value());
+  REQUIRE(messages.Pop(kTimeout).has_value());
+  REQUIRE(messages.Pop(kTimeout).has_value());
   REQUIRE(Eventually([&] {
     return server.server.Totals().unsent_bytes == 0 &&
            client.Totals().unsent_bytes == 0 &&
@@ -112,7 +112,7 @@
   CHECK(Of(client.Totals(), "/a").messages == 1);
   CHECK(Of(client.Totals(), "/a").bytes == 100000);
 
-  SECTION("and a finished answer is no further message") {
+  SECTION("finishing a response counts no further message") {
     server.server.Finish(request->stream);
     REQUIRE(Eventually([&] { return server.server.OpenStreams() == 0; }));
     CHECK(Of(server.server.Totals(), "/a").messages == 2);
@@ -120,13 +120,12 @@
   }
 }
 
-// Symptom: a process grows to its memory limit and no figure says why.
-// Sequence: one large message goes to a peer whose link takes nothing.
-// Cause: what waits unsent was not counted.
-TEST_CASE("what a full link leaves waiting is seen, with its path") {
+// A process grows to its memory limit and no metric shows why. A large message
+// goes to a peer that reads nothing, and unsent bytes were not counted.
+TEST_CASE("unsent bytes to a slow peer are counted by path") {
   constexpr std::size_t kLarge = std::size_t{32} << 20U;
-  /// The stream's window and what the kernel takes.
-  constexpr std::size_t kOnTheWay = std::size_t{12} << 20U;
+  /// The stream's window and the kernel's buffers.
+  constexpr std::size_t kInTransit = std::size_t{12} << 20U;
   Server server;
   auto client = std::make_unique<SlowClient>();
   std::size_t got = 0;
@@ -134,12 +133,12 @@
       server.endpoint(), "/large", "",
       {[&got](const std::string& message) { got += message.size(); }, {}});
   REQUIRE(client->ReadUntil([&] { return server.server.OpenStreams() == 1; }));
-  const auto request = server.arrived.Pop(kPatience);
+  const auto request = server.arrived.Pop(kTimeout);
   REQUIRE(request.has_value());
   server.server.Send(request->stream, std::string(kLarge, 'x'));
   REQUIRE(Eventually(
       [&] { return Of(server.server.Totals(), "/large").messages == 1; }));
-  // The window is used up; nothing moves until the client reads.
+  // The window is used up; no data flows until the client reads.
   std::uint64_t before = 0;
   REQUIRE(Eventually([&] {
     const std::uint64_t now = server.server.Totals().sent_bytes;
@@ -147,24 +146,25 @@
     return std::exchange(before, now) == now && now > 0;
   }));
   const TransportTotals stuck = server.server.Totals();
-  CHECK(stuck.unsent_bytes > kLarge - kOnTheWay);
+  CHECK(stuck.unsent_bytes > kLarge - kInTransit);
   CHECK(stuck.unsent_bytes <= kLarge + kPrefix);
   CHECK(Of(stuck, "/large").unsent_bytes <= stuck.unsent_bytes);
-  BacklogWatch watch;
-  const Backlog backlog = BacklogOf(stuck, client->client.Totals());
+  BacklogMonitor monitor;
+  const Backlog backlog = TotalBacklog(stuck, client->client.Totals());
   CHECK(backlog.path == "/large");
   CHECK(backlog.connections == 2);
-  CHECK(watch.Look(backlog, Time{}) == BacklogWatch::Change::kBegan);
+  CHECK(monitor.Update(backlog, Time{}) == BacklogMonitor::Change::kBegan);
 
-  SECTION("until the link takes it") {
+  SECTION("until the client reads them") {
     REQUIRE(client->ReadUntil([&] { return got == kLarge; }));
     REQUIRE(
         Eventually([&] { return server.server.Totals().unsent_bytes == 0; }));
     CHECK(Of(server.server.Totals(), "/large").unsent_bytes == 0);
     CHECK(server.server.Totals().sent_bytes > kLarge);
   }
-  SECTION("until the requester gives up") {
-    // A server that has finished hears of it no more, but it counts.
+  SECTION("until the client cancels the call") {
+    // After Finish the server is not notified of the cancellation, but counts
+    // it.
     const bool finished = GENERATE(false, true);
     if (finished) {
       server.server.Finish(request->stream);
@@ -179,7 +179,7 @@
     CHECK(server.cancelled.Pop(std::chrono::milliseconds(0)).has_value() ==
           !finished);
   }
-  SECTION("until the connection is gone") {
+  SECTION("until the connection closes") {
     server.server.Finish(request->stream);
     client.reset();
     REQUIRE(
@@ -189,40 +189,40 @@
     CHECK(Eventually(
         [&] { return Of(server.server.Totals(), "/large").cancelled == 1; }));
   }
-  CHECK(watch.Look(BacklogOf(server.server.Totals(), {}), Time{}) ==
-        BacklogWatch::Change::kGone);
+  CHECK(monitor.Update(TotalBacklog(server.server.Totals(), {}), Time{}) ==
+        BacklogMonitor::Change::kGone);
 }
 
-TEST_CASE("calls given up are counted at both ends") {
+TEST_CASE("cancelled calls are counted by client and server") {
   Server server;
   auto client = std::make_unique<PeerClient>();
   const CallId call = client->Call(server.endpoint(), "/watch", "", {});
   client->Call(server.endpoint(), "/other", "", {});
-  REQUIRE(server.arrived.Pop(kPatience).has_value());
-  REQUIRE(server.arrived.Pop(kPatience).has_value());
+  REQUIRE(server.arrived.Pop(kTimeout).has_value());
+  REQUIRE(server.arrived.Pop(kTimeout).has_value());
   client->Cancel(call);
-  REQUIRE(server.cancelled.Pop(kPatience).has_value());
+  REQUIRE(server.cancelled.Pop(kTimeout).has_value());
   CHECK(client->Totals().cancelled == 1);
   CHECK(Of(client->Totals(), "/watch").cancelled == 1);
   CHECK(server.server.Totals().cancelled == 1);
   CHECK(Of(server.server.Totals(), "/watch").cancelled == 1);
 
-  SECTION("a second time changes nothing") {
+  SECTION("cancelling again changes nothing") {
     client->Cancel(call);
     client->Call(server.endpoint(), "/after", "", {});
-    REQUIRE(server.arrived.Pop(kPatience).has_value());
+    REQUIRE(server.arrived.Pop(kTimeout).has_value());
     CHECK(client->Totals().cancelled == 1);
   }
-  SECTION("a connection that ends gives up what is open on it") {
+  SECTION("closing a connection cancels its open requests") {
     client.reset();
-    REQUIRE(server.cancelled.Pop(kPatience).has_value());
+    REQUIRE(server.cancelled.Pop(kTimeout).has_value());
     CHECK(server.server.Totals().cancelled == 2);
     CHECK(Of(server.server.Totals(), "/other").cancelled == 1);
   }
 }
 
-TEST_CASE("the table of paths is bounded and holds only names to show") {
-  constexpr std::size_t kPaths = kMostPaths + 8;
+TEST_CASE("the table of paths is bounded and holds only valid label values") {
+  constexpr std::size_t kPaths = kMaxPaths + 8;
   Server server;
   PeerClient client;
   std::vector<std::string> paths = {"/with\"quote"};
@@ -231,7 +231,7 @@
   }
   for (const std::string& path : paths) {
     client.Call(server.endpoint(), path, "", {});
-    const auto request = server.arrived.Pop(kPatience);
+    const auto request = server.arrived.Pop(kTimeout);
     REQUIRE(request.has_value());
     server.server.Send(request->stream, "x");
     server.server.Finish(request->stream);
@@ -245,48 +245,48 @@
     return messages == paths.size();
   }));
   const TransportTotals totals = server.server.Totals();
-  CHECK(totals.paths.size() == kMostPaths + 1);
-  CHECK(Of(totals, kOtherPaths).messages == paths.size() - kMostPaths);
+  CHECK(totals.paths.size() == kMaxPaths + 1);
+  CHECK(Of(totals, kOtherPaths).messages == paths.size() - kMaxPaths);
   CHECK(Of(totals, "/path-0").messages == 1);
   CHECK(Of(totals, "/with\"quote").messages == 0);
 }
 
-TEST_CASE("a backlog is told once, and once that it is gone") {
-  using Change = BacklogWatch::Change;
-  BacklogWatch watch;
-  const auto look = [&watch](std::uint64_t bytes) {
-    return watch.Look({bytes, 1, "/a", bytes}, Time{});
+TEST_CASE("the begin and the end of a backlog are reported once each") {
+  using Change = BacklogMonitor::Change;
+  BacklogMonitor monitor;
+  const auto update = [&monitor](std::uint64_t bytes) {
+    return monitor.Update({bytes, 1, "/a", bytes}, Time{});
   };
-  CHECK(look(kBacklogBytes) == Change::kNone);
-  CHECK(look(kBacklogBytes + 1) == Change::kBegan);
-  CHECK(look(kBacklogBytes * 20) == Change::kNone);
-  CHECK(look(kBacklogBytes / 2) == Change::kNone);
-  CHECK(look(kBacklogBytes * 2) == Change::kNone);
-  CHECK(look(kBacklogBytes / 2 - 1) == Change::kGone);
-  CHECK(look(0) == Change::kNone);
-  CHECK(look(kBacklogBytes - 1) == Change::kNone);
-  CHECK(look(kBacklogBytes + 1) == Change::kBegan);
+  CHECK(update(kBacklogWarnBytes) == Change::kNone);
+  CHECK(update(kBacklogWarnBytes + 1) == Change::kBegan);
+  CHECK(update(kBacklogWarnBytes * 20) == Change::kNone);
+  CHECK(update(kBacklogWarnBytes / 2) == Change::kNone);
+  CHECK(update(kBacklogWarnBytes * 2) == Change::kNone);
+  CHECK(update(kBacklogWarnBytes / 2 - 1) == Change::kGone);
+  CHECK(update(0) == Change::kNone);
+  CHECK(update(kBacklogWarnBytes - 1) == Change::kNone);
+  CHECK(update(kBacklogWarnBytes + 1) == Change::kBegan);
 }
 
-TEST_CASE("a backlog is that of both sides, named by its largest path") {
+TEST_CASE("a backlog sums client and server and names its largest path") {
   const TransportTotals server{
       1, 2, 300, 4, 0, {{"/a", 1, 1, 100, 0}, {"/b", 1, 1, 150, 0}}};
   const TransportTotals client{1, 2, 90, 3, 0, {{"/a", 1, 1, 80, 0}}};
-  const Backlog both = BacklogOf(server, client);
+  const Backlog both = TotalBacklog(server, client);
   CHECK(both.unsent_bytes == 390);
   CHECK(both.connections == 7);
   CHECK(both.path == "/a");
   CHECK(both.path_unsent_bytes == 180);
-  CHECK(BacklogOf({}, {}).path.empty());
+  CHECK(TotalBacklog({}, {}).path.empty());
 }
 
-TEST_CASE("the totals of a process are shown as counters and gauges") {
+TEST_CASE("the totals of a process are exported as counters and gauges") {
   const TransportTotals server{1000, 20, 300, 4, 6, {{"/a", 5, 900, 100, 6}}};
   const TransportTotals client{1, 2, 90, 3, 7, {{"/b", 1, 1, 80, 7}}};
   Metrics metrics;
-  ShowTransport(server, client, metrics);
-  // Shown again: totals are set, not added.
-  ShowTransport(server, client, metrics);
+  ExportTransportMetrics(server, client, metrics);
+  // A second export sets the totals and does not add to them.
+  ExportTransportMetrics(server, client, metrics);
   const std::string text = "\n" + metrics.Exposition();
   for (const char* line :
        {"peer_sent_bytes_total 1001", "peer_received_bytes_total 22",
