--- a/src/consensus/internal/raftcore.cpp
+++ b/src/consensus/internal/raftcore.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "global/linkpace.h"
+#include "global/transfertime.h"
 #include "global/variantcodec.h"
 
 namespace papayarack::consensus {
@@ -562,7 +562,7 @@
 void RaftCore::ResendWhenSilent(Progress& known) {
   const bool outstanding = known.match + 1 < known.next;
   const Duration first_wait =
-      2 * this->options.heartbeat + TimeToCarry(known.inflight_bytes);
+      2 * this->options.heartbeat + TransferTime(known.inflight_bytes);
   const Duration wait = std::clamp<Duration>(first_wait, known.resend_wait,
                                              this->options.longest_resend_wait);
   if (!outstanding || this->now - known.last_progress < wait) {
--- a/src/consensus/tests/raftcore_tests.cpp
+++ b/src/consensus/tests/raftcore_tests.cpp
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "consensus/tests/raftcluster.h"
-#include "global/linkpace.h"
+#include "global/transfertime.h"
 
 namespace papayarack::consensus {
 namespace {
@@ -483,7 +483,7 @@
 
   SECTION("and it is sent again when it was lost too") {
     const Time again = late + 2 * options.heartbeat +
-                       TimeToCarry(sent.front().entries.size() * kEntryBytes);
+                       TransferTime(sent.front().entries.size() * kEntryBytes);
     std::size_t entries_sent = 0;
     Time now = late;
     while (now + options.heartbeat < again) {
--- a/src/coordination/acknowledgementhold.h
+++ b/src/coordination/acknowledgementhold.h
@@ -22,7 +22,7 @@
 /// none.
 class AcknowledgementHold {
  public:
-  /// Most that an acknowledgement is held, and TimeToCarry of the text more.
+  /// Most that an acknowledgement is held, and TransferTime of the text more.
   /// Operators move on after a second; an entry's attempt takes 450 ms, of
   /// which the log needs 30 to 100 ms. Six times what a small change takes to
   /// reach all entries (50 ms).
--- a/src/coordination/groupclient.h
+++ b/src/coordination/groupclient.h
@@ -35,7 +35,7 @@
   GroupClient(const GroupClient&) = delete;
   GroupClient& operator=(const GroupClient&) = delete;
 
-  /// `try_time` bounds one attempt, longer by TimeToCarry(body.size()); `time`
+  /// `try_time` bounds one attempt, longer by TransferTime(body.size()); `time`
   /// bounds all of them, whatever the size.
   std::uint64_t Call(std::string path, std::string body,
                      std::chrono::milliseconds time,
--- a/src/coordination/internal/acknowledgementhold.cpp
+++ b/src/coordination/internal/acknowledgementhold.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "global/linkpace.h"
+#include "global/transfertime.h"
 
 namespace papayarack::coordination {
 
@@ -23,7 +23,7 @@
                                Time now) {
   if (version > this->newest) {
     this->newest = version;
-    this->newest_until = now + kLongest + TimeToCarry(bytes);
+    this->newest_until = now + kLongest + TransferTime(bytes);
   }
   this->waiting.push_back({stream, version, now, this->newest_until});
 }
--- a/src/coordination/internal/groupclient.cpp
+++ b/src/coordination/internal/groupclient.cpp
@@ -4,8 +4,8 @@
 #include <utility>
 
 #include "coordination/coordinationmessages.h"
-#include "global/linkpace.h"
 #include "global/settings.h"
+#include "global/transfertime.h"
 
 namespace papayarack::coordination {
 namespace {
@@ -83,7 +83,7 @@
   // attempt may take, is cancelled and sent whole to the next member, and so on
   // until the call's time is over, while the link stays full.
   const std::chrono::milliseconds try_time =
-      attempt.try_time + TimeToCarry(attempt.body.size());
+      attempt.try_time + TransferTime(attempt.body.size());
   attempt.timer->expires_after(std::min<Duration>(left, Duration(try_time)));
   attempt.timer->async_wait(
       [this, id, current, alive = this->alive](std::error_code error) {
--- a/src/coordination/internal/textfetch.cpp
+++ b/src/coordination/internal/textfetch.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "global/linkpace.h"
 #include "global/logging.h"
 #include "global/settings.h"
+#include "global/transfertime.h"
 #include "transport/peerserver.h"
 
 namespace papayarack::coordination {
@@ -24,7 +24,7 @@
 /// For each further part, from a source that has shown that it gives. Twenty
 /// times what it needs on a link that is shared by five.
 constexpr std::chrono::milliseconds kPartTime{1500};
-/// For all parts from one source, and TimeToCarry more: a source whose parts
+/// For all parts from one source, and TransferTime more: a source whose parts
 /// each come just in time would take 10 s for 400 KB.
 constexpr std::chrono::milliseconds kSourceTime{1500};
 
@@ -81,7 +81,7 @@
   this->done = std::move(when_done);
   this->started = MonotonicNow();
   this->deadline =
-      this->started + kSourceTime + TimeToCarry(this->assembly.MissingBytes());
+      this->started + kSourceTime + TransferTime(this->assembly.MissingBytes());
   this->bytes_at_start = this->assembly.TakenBytes();
   this->not_given.clear();
   this->any_part = false;
--- a/src/coordination/tests/acknowledgementhold_tests.cpp
+++ b/src/coordination/tests/acknowledgementhold_tests.cpp
@@ -2,7 +2,7 @@
 #include <vector>
 
 #include "coordination/acknowledgementhold.h"
-#include "global/linkpace.h"
+#include "global/transfertime.h"
 
 namespace papayarack::coordination {
 namespace {
@@ -84,7 +84,7 @@
     constexpr std::size_t kLargeBytes = 900'000;
     hold.Hold(kFirst, 6, kLargeBytes, now);
     const Time bound =
-        now + AcknowledgementHold::kLongest + TimeToCarry(kLargeBytes);
+        now + AcknowledgementHold::kLongest + TransferTime(kLargeBytes);
     for (Time at = now; at < bound; at += milliseconds(100)) {
       hold.Heard("a", 4, at);
       hold.Heard("b", 6, at);
--- a/src/coordination/tests/groupclient_tests.cpp
+++ b/src/coordination/tests/groupclient_tests.cpp
@@ -9,7 +9,7 @@
 #include "coordination/coordinationmessages.h"
 #include "coordination/fleetwatch.h"
 #include "coordination/groupclient.h"
-#include "global/linkpace.h"
+#include "global/transfertime.h"
 #include "transport/peerdispatch.h"
 #include "transport/peerserver.h"
 
@@ -183,7 +183,7 @@
 
   SECTION("when its answer comes later than a small one's may") {
     const Outcome outcome =
-        CallAndRun(context, client, body, kTime + TimeToCarry(body.size()));
+        CallAndRun(context, client, body, kTime + TransferTime(body.size()));
     CHECK(outcome.code == ResultCode::kOk);
     CHECK(outcome.body == "done");
     CHECK(first.bytes_received == std::vector<std::size_t>{kBodyBytes});
@@ -207,7 +207,7 @@
   LeaderSearch search;
   search.SetMembers({silent.Address(), second.Address()});
   GroupClient client(context, peers, search);
-  CHECK(TimeToCarry(kBodyBytes) == std::chrono::milliseconds(0));
+  CHECK(TransferTime(kBodyBytes) == std::chrono::milliseconds(0));
   const Outcome outcome =
       CallAndRun(context, client, std::string(kBodyBytes, 'c'), kTime);
   CHECK(outcome.code == ResultCode::kOk);
@@ -249,10 +249,10 @@
 }
 
 TEST_CASE("the time to carry a body grows with its size") {
-  CHECK(TimeToCarry(0) == std::chrono::milliseconds(0));
-  CHECK(TimeToCarry(999) == std::chrono::milliseconds(0));
-  CHECK(TimeToCarry(400'000) == std::chrono::milliseconds(400));
-  CHECK(TimeToCarry(1'000'000) == std::chrono::seconds(1));
+  CHECK(TransferTime(0) == std::chrono::milliseconds(0));
+  CHECK(TransferTime(999) == std::chrono::milliseconds(0));
+  CHECK(TransferTime(400'000) == std::chrono::milliseconds(400));
+  CHECK(TransferTime(1'000'000) == std::chrono::seconds(1));
 }
 
 }  // namespace papayarack::coordination
--- a/src/coordination/tests/stalledsources_tests.cpp
+++ b/src/coordination/tests/stalledsources_tests.cpp
@@ -10,7 +10,7 @@
 
 #include "coordination/acknowledgementhold.h"
 #include "coordination/transferplan.h"
-#include "global/linkpace.h"
+#include "global/transfertime.h"
 
 namespace papayarack::coordination {
 namespace {
@@ -24,7 +24,7 @@
 constexpr milliseconds kInForce{2000};
 /// The latest acknowledgement, which waits for nobody beyond its bound.
 constexpr milliseconds kAcknowledged =
-    AcknowledgementHold::kLongest + TimeToCarry(kTextBytes);
+    AcknowledgementHold::kLongest + TransferTime(kTextBytes);
 constexpr milliseconds kStep{20};
 /// As TextFetch: a source that gives no first part, or no further one, for so
 /// long is given up.
--- a/src/global/boundedring.h
+++ b/src/global/boundedring.h
@@ -12,16 +12,17 @@
 
 namespace papayarack {
 
-/// A bounded first-in first-out ring that joins two threads of different duty.
-/// A full ring is reported to the producer, who refuses the work or slows down;
-/// nothing is dropped in silence. Thread safety: every method, any thread.
+/// A bounded first-in first-out queue between producer and consumer threads.
+/// When it is full, the producer is told so and refuses work or slows down;
+/// elements are never dropped silently. Thread safety: every method, any
+/// thread.
 template <typename T>
 class BoundedRing {
  public:
   /// Precondition: capacity > 0 (number of elements).
   explicit BoundedRing(std::size_t capacity) : elements(capacity) {}
 
-  /// Adds without waiting. Returns false when the ring is full or closed.
+  /// Adds without blocking. Returns false when the ring is full or closed.
   bool TryPush(T element) {
     {
       const std::lock_guard lock(this->mutex);
@@ -34,8 +35,9 @@
     return true;
   }
 
-  /// Adds, waiting for room. Returns false when the ring is closed.
-  /// Never call it from a deciding thread.
+  /// Adds, blocking while the ring is full. Returns false when the ring is
+  /// closed. Never call it from a thread that runs a core, as it must not
+  /// block.
   bool Push(T element) {
     {
       std::unique_lock lock(this->mutex);
@@ -50,8 +52,8 @@
     return true;
   }
 
-  /// Takes the oldest, waiting up to `wait`. Empty on timeout, or when closed
-  /// and drained.
+  /// Takes the oldest element, waiting up to `wait`. Empty on timeout, or when
+  /// closed and drained.
   std::optional<T> Pop(std::chrono::microseconds wait) {
     std::unique_lock lock(this->mutex);
     this->not_empty.wait_for(
@@ -59,7 +61,7 @@
     return this->TakeLocked(lock);
   }
 
-  /// Takes all that is there, waiting up to `wait` for the first.
+  /// Takes all elements, waiting up to `wait` for the first.
   std::vector<T> PopAll(std::chrono::microseconds wait) {
     std::vector<T> taken;
     {
@@ -77,7 +79,7 @@
     return taken;
   }
 
-  /// Refuses further elements; what is inside can still be taken.
+  /// Refuses further elements; those in the ring can still be taken.
   void Close() {
     {
       const std::lock_guard lock(this->mutex);
--- a/src/global/hash.h
+++ b/src/global/hash.h
@@ -7,15 +7,16 @@
 
 namespace papayarack {
 
-/// XXH3, 64 bits: for checksums and placement, never for secrets. Thread
-/// safety: any thread.
+/// 64-bit XXH3: for checksums and placement, never for security. Thread safety:
+/// any thread.
 std::uint64_t Hash64(std::string_view bytes, std::uint64_t seed = 0);
 
 /// SHA-256 in lower-case hexadecimal: for content identity and tokens.
 std::string Sha256Hex(std::string_view bytes);
 
-/// A random id with `prefix`, 64 random bits, unique in practice across the
-/// fleet.
+/// `prefix` followed by 64 random bits in hexadecimal, unique in practice
+/// across the fleet. Throws ResultError(kInternal) when the random generator
+/// fails.
 std::string NewId(std::string_view prefix);
 
 }  // namespace papayarack
--- a/src/global/heap.h
+++ b/src/global/heap.h
@@ -3,13 +3,13 @@
 
 namespace papayarack {
 
-/// Prepares the allocator for a small VM: large buffers go back to the system
+/// Configures the allocator for a small VM: large buffers return to the system
 /// when they are freed. Call first in main. Thread safety: call once.
 void TuneHeap();
 
-/// Gives freed memory back to the system. A member that has read its log, or
-/// written a snapshot, otherwise keeps that peak for the rest of its life.
-/// Thread safety: any thread.
+/// Returns freed memory to the system. Otherwise a control member that has read
+/// its log or written a snapshot keeps its peak memory until it exits. Thread
+/// safety: any thread.
 void ReleaseFreeHeap();
 
 }  // namespace papayarack
--- a/src/global/internal/backgroundlog.cpp
+++ b/src/global/internal/backgroundlog.cpp
@@ -6,8 +6,9 @@
 namespace papayarack {
 namespace {
 
-/// Pace of writing. A line is at most this late, and a crash loses no more.
-constexpr std::chrono::milliseconds kWriteEvery{100};
+/// Write interval: the maximum delay of a line and the time span that a crash
+/// can lose.
+constexpr std::chrono::milliseconds kWriteInterval{100};
 
 }  // namespace
 
@@ -25,9 +26,9 @@
 
 void BackgroundLog::Add(const std::string& line) {
   const std::lock_guard lock(this->mutex);
-  if (this->waiting.size() + line.size() >= kMostBytes) {
-    ++this->left_out;
-    ++this->left_out_total;
+  if (this->waiting.size() + line.size() >= kMaxBytes) {
+    ++this->dropped;
+    ++this->dropped_total;
     return;
   }
   this->waiting += line;
@@ -37,9 +38,9 @@
 std::string BackgroundLog::Take() {
   const std::lock_guard lock(this->mutex);
   std::string taken = std::exchange(this->waiting, {});
-  if (this->left_out > 0) {
+  if (this->dropped > 0) {
     taken += "{\"level\":\"warn\",\"event\":\"log_lines_left_out\",\"count\":" +
-             std::to_string(std::exchange(this->left_out, 0)) + "}\n";
+             std::to_string(std::exchange(this->dropped, 0)) + "}\n";
   }
   return taken;
 }
@@ -52,9 +53,9 @@
   }
 }
 
-std::uint64_t BackgroundLog::LeftOut() const {
+std::uint64_t BackgroundLog::DroppedLines() const {
   const std::lock_guard lock(this->mutex);
-  return this->left_out_total;
+  return this->dropped_total;
 }
 
 void BackgroundLog::Run() {
@@ -62,7 +63,8 @@
   while (!last) {
     {
       std::unique_lock lock(this->mutex);
-      this->wake.wait_for(lock, kWriteEvery, [this] { return this->stopping; });
+      this->wake.wait_for(lock, kWriteInterval,
+                          [this] { return this->stopping; });
       last = this->stopping;
     }
     this->Flush();
--- a/src/global/internal/backgroundlog.h
+++ b/src/global/internal/backgroundlog.h
@@ -10,27 +10,27 @@
 
 namespace papayarack {
 
-/// Lines that wait to be written by a thread of their own, a few times a
-/// second: one write for many lines. Symptom guarded against: a reader of the
-/// log that stops reading blocks the loop, and every request with it. Beyond
-/// kMostBytes lines are left out and counted. Thread safety: every method, any
-/// thread.
+/// Buffers log lines that its own thread writes a few times a second, many in
+/// one write. Otherwise a log reader that stops reading would block the event
+/// loop and every request. Lines beyond kMaxBytes are dropped and counted.
+/// Thread safety: every method, any thread.
 class BackgroundLog {
  public:
   using Write = std::function<void(const std::string& lines)>;
-  /// Lines of some seconds at a busy process; a slow reader costs no more.
-  static constexpr std::size_t kMostBytes = 256U << 10U;
+  /// Several seconds of lines of a busy process; also the most memory that a
+  /// slow reader can cost.
+  static constexpr std::size_t kMaxBytes = 256U << 10U;
 
   explicit BackgroundLog(Write write);
   ~BackgroundLog();
   BackgroundLog(const BackgroundLog&) = delete;
   BackgroundLog& operator=(const BackgroundLog&) = delete;
 
-  /// Takes a line without its end. Never waits for the writer.
+  /// Adds a line, given without its line end. Never waits for the writer.
   void Add(const std::string& line);
-  /// Writes what waits, on the caller's thread.
+  /// Writes the buffered lines on the caller's thread.
   void Flush();
-  std::uint64_t LeftOut() const;
+  std::uint64_t DroppedLines() const;
 
  private:
   void Run();
@@ -41,8 +41,8 @@
   std::mutex writing;  ///< Keeps lines in order between writer and Flush.
   std::condition_variable wake;
   std::string waiting;
-  std::uint64_t left_out = 0;
-  std::uint64_t left_out_total = 0;
+  std::uint64_t dropped = 0;
+  std::uint64_t dropped_total = 0;
   bool stopping = false;
   std::thread thread;
 };
--- a/src/global/internal/heap.cpp
+++ b/src/global/internal/heap.cpp
@@ -5,22 +5,22 @@
 namespace papayarack {
 namespace {
 
-/// Buffers from this size on are mapped by themselves. Bodies and snapshots are
-/// larger, events and messages smaller.
-constexpr int kMapFromBytes = 64 * 1024;
-/// Free memory at the end of the heap that is kept.
-constexpr int kKeepBytes = 128 * 1024;
-/// The loop's thread does nearly all allocations.
-constexpr int kArenas = 1;
+/// Buffers of at least this size are mapped separately. Bodies and snapshots
+/// are larger, events and messages smaller.
+constexpr int kMmapThresholdBytes = 64 * 1024;
+/// Free memory kept at the top of the heap.
+constexpr int kTrimThresholdBytes = 128 * 1024;
+/// One suffices: the event loop's thread does nearly all allocations.
+constexpr int kMaxArenas = 1;
 
 }  // namespace
 
 void TuneHeap() {
-  mallopt(M_MMAP_THRESHOLD, kMapFromBytes);
-  mallopt(M_TRIM_THRESHOLD, kKeepBytes);
-  mallopt(M_ARENA_MAX, kArenas);
+  mallopt(M_MMAP_THRESHOLD, kMmapThresholdBytes);
+  mallopt(M_TRIM_THRESHOLD, kTrimThresholdBytes);
+  mallopt(M_ARENA_MAX, kMaxArenas);
 }
 
-void ReleaseFreeHeap() { malloc_trim(kKeepBytes); }
+void ReleaseFreeHeap() { malloc_trim(kTrimThresholdBytes); }
 
 }  // namespace papayarack
--- a/src/global/internal/jsonschema.cpp
+++ b/src/global/internal/jsonschema.cpp
@@ -1,5 +1,5 @@
-// g++ 12 warns about its own std::string inside valijson's templates, with
-// optimisation only.
+// g++ 12 reports a false -Wrestrict warning for std::string inside valijson's
+// templates, only with optimisation.
 #if defined(__GNUC__) && !defined(__clang__)
 #pragma GCC diagnostic ignored "-Wrestrict"
 #endif
@@ -25,7 +25,7 @@
 std::string PointerOf(const std::vector<std::string>& context) {
   std::string pointer;
   for (std::string part : context) {
-    // The library writes "<root>", then "[name]" or "[index]" for each step.
+    // valijson writes "<root>", then "[name]" or "[index]" for each level.
     if (part == "<root>") {
       continue;
     }
--- a/src/global/internal/logging.cpp
+++ b/src/global/internal/logging.cpp
@@ -65,7 +65,7 @@
   return started;
 }
 
-/// The writer in the background; null when lines are written at once.
+/// The background writer; null when lines are written synchronously.
 std::unique_ptr<BackgroundLog>& Background() {
   static std::unique_ptr<BackgroundLog> background;
   return background;
@@ -76,7 +76,7 @@
   return name;
 }
 
-log4cplus::Logger& TheLogger() {
+log4cplus::Logger& ProcessLogger() {
   static log4cplus::Initializer initializer;
   static log4cplus::Logger logger =
       log4cplus::Logger::getInstance("papayarack");
@@ -87,7 +87,7 @@
 
 void StartLogging(const LogSettings& settings, std::string_view role) {
   RoleName() = role;
-  log4cplus::Logger& logger = TheLogger();
+  log4cplus::Logger& logger = ProcessLogger();
   log4cplus::SharedAppenderPtr appender;
   const bool in_background = settings.target == "stdout";
   if (in_background) {
@@ -121,7 +121,7 @@
   if (!Started()) {
     return;
   }
-  log4cplus::Logger& logger = TheLogger();
+  log4cplus::Logger& logger = ProcessLogger();
   const log4cplus::LogLevel library_level = ToLibraryLevel(level);
   if (!logger.isEnabledFor(library_level)) {
     return;
--- a/src/global/internal/metrics.cpp
+++ b/src/global/internal/metrics.cpp
@@ -19,8 +19,8 @@
     acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::sum,
                                             acc::tag::extended_p_square>>;
 
-/// Names that differ only in their labels are one family, typed once. They
-/// stand side by side in the map, as '{' is behind every other character of a
+/// Names that differ only in their labels are one family with one TYPE line.
+/// They are adjacent in the map, as '{' sorts after every other character of a
 /// name.
 template <typename Values>
 void AddFamilies(const Values& values, std::string_view type,
--- a/src/global/jsonschema.h
+++ b/src/global/jsonschema.h
@@ -8,22 +8,22 @@
 
 namespace papayarack {
 
-/// One broken rule of a JSON document.
+/// One schema violation in a JSON document.
 struct SchemaError {
   std::string
-      pointer;  ///< JSON pointer to the place, empty for the whole document.
+      pointer;  ///< JSON pointer to the value, empty for the whole document.
   std::string message;  ///< What was expected.
 };
 
-/// Every error at once, in document order; empty when `document` fits `schema`.
-/// Thread safety: any thread.
+/// All errors in document order; empty when `document` is valid. Thread safety:
+/// any thread.
 std::vector<SchemaError> ValidateJson(const nlohmann::json& schema,
                                       const nlohmann::json& document);
 
-/// Parses JSON. Throws ResultError(kBadInput) that names line and column.
+/// Parses JSON. Throws ResultError(kBadInput) with `what`, line and column.
 nlohmann::json ParseJson(std::string_view text, std::string_view what);
 
-/// Throws ResultError(kBadInput) listing every error when there is one.
+/// Throws ResultError(kBadInput) listing all errors if there are any.
 void RequireValid(const nlohmann::json& schema, const nlohmann::json& document,
                   std::string_view what);
 
--- a/src/global/logging.h
+++ b/src/global/logging.h
@@ -9,16 +9,16 @@
 
 enum class LogLevel { kDebug, kInfo, kWarn, kError };
 
-/// Where and from which level on log lines go.
+/// Minimum level and target of log lines.
 struct LogSettings {
   std::string level = "info";  ///< debug, info, warn or error.
-  /// "stderr", "stdout" or a file path. "stdout" is written in the background:
-  /// bounded, and nothing waits for it.
+  /// "stderr", "stdout" or a file path. "stdout" is written by a background
+  /// thread through a bounded buffer, so logging never blocks.
   std::string target = "stderr";
 };
 
-/// Prepares logging; call once in main before any thread starts.
-/// Throws ResultError(kBadInput) for an unknown level.
+/// Starts logging; call once in main before any thread starts. Throws
+/// ResultError(kBadInput) for an unknown level.
 void StartLogging(const LogSettings& settings, std::string_view role);
 
 /// Writes one JSON line: time, level, role, event and `fields`. Put the ids of
@@ -26,7 +26,7 @@
 void Log(LogLevel level, std::string_view event,
          const nlohmann::json& fields = {});
 
-/// Writes what waits in the background; call before the process ends. Thread
+/// Writes the lines still buffered; call before the process exits. Thread
 /// safety: any thread.
 void FlushLog();
 
--- a/src/global/messagecodec.h
+++ b/src/global/messagecodec.h
@@ -13,10 +13,10 @@
 namespace papayarack {
 
 /// Version of the messages between processes. Fields are only ever added at the
-/// end of a message; a peer that is older reads the ones it knows.
+/// end of a message; an older peer ignores those it does not know.
 inline constexpr std::uint32_t kMessageVersion = 1;
 
-/// A string as the packer's output: no buffer beside it to copy from.
+/// Lets msgpack pack into a string directly, without an intermediate buffer.
 struct PackedString {
   std::string bytes;
   void write(const char* data, std::size_t size) {
@@ -24,8 +24,7 @@
   }
 };
 
-/// Encodes a message type that carries MSGPACK_DEFINE. Thread safety: any
-/// thread.
+/// Encodes a type that has MSGPACK_DEFINE. Thread safety: any thread.
 template <typename T>
 std::string EncodeMessage(const T& message) {
   PackedString packed;
@@ -33,8 +32,8 @@
   return std::move(packed.bytes);
 }
 
-/// Decodes bytes that may come from a peer or a disk. Throws
-/// ResultError(kProtocol) on any malformed input. Thread safety: any thread.
+/// Decodes bytes from a peer or a disk. Throws ResultError(kProtocol) for
+/// malformed input. Thread safety: any thread.
 template <typename T>
 T DecodeMessage(std::string_view bytes) {
   try {
@@ -47,13 +46,13 @@
   }
 }
 
-/// Cuts a byte stream into length-prefixed messages. Thread safety: none, one
+/// Splits a byte stream into length-prefixed messages. Thread safety: none, one
 /// owner.
 class MessageSplitter {
  public:
   static constexpr std::size_t kMaxMessage = 64U << 20U;
 
-  /// The message with its length in front.
+  /// The message with its length prepended.
   static std::string Frame(std::string_view message) {
     const auto length = static_cast<std::uint32_t>(message.size());
     std::string framed;
@@ -67,8 +66,8 @@
 
   void Add(std::string_view bytes) { this->pending.append(bytes); }
 
-  /// Takes the next whole message; false when more bytes are needed.
-  /// Throws ResultError(kProtocol) when the length is beyond kMaxMessage.
+  /// Extracts the next complete message; false when more bytes are needed.
+  /// Throws ResultError(kProtocol) when the length exceeds kMaxMessage.
   bool Next(std::string& message) {
     if (this->pending.size() < kPrefix) {
       return false;
--- a/src/global/metrics.h
+++ b/src/global/metrics.h
@@ -10,10 +10,10 @@
 
 namespace papayarack {
 
-/// Counters and distributions of one process, shown in the common text
-/// exposition format. The name of a counter or gauge may carry labels at its
-/// end, as in `sent_bytes_total{path="/a"}`, with values that need no escape.
-/// Thread safety: every method, any thread.
+/// Counters, gauges and distributions of one process, in the Prometheus text
+/// exposition format. The name of a counter or gauge may end with labels, as in
+/// `sent_bytes_total{path="/a"}`, whose values need no escaping. Thread safety:
+/// every method, any thread.
 class Metrics {
  public:
   Metrics();
@@ -23,14 +23,14 @@
 
   /// Adds to a counter; `name` ends in _total.
   void Add(std::string_view name, std::uint64_t amount = 1);
-  /// Sets a counter that is kept elsewhere; `total` never falls. `name` ends in
-  /// _total.
+  /// Sets a counter whose value is kept elsewhere; `total` never decreases.
+  /// `name` ends in _total.
   void SetTotal(std::string_view name, std::uint64_t total);
   /// Sets a gauge; `name` ends in its unit.
   void Set(std::string_view name, double value);
   /// Adds one observation; `name` ends in _seconds or _bytes.
   void Observe(std::string_view name, double value);
-  /// The whole in text exposition format.
+  /// All metrics in text exposition format.
   std::string Exposition() const;
 
  private:
--- a/src/global/resultcode.h
+++ b/src/global/resultcode.h
@@ -9,8 +9,8 @@
 
 namespace papayarack {
 
-/// The one numbered list of outcomes. Numbers are part of the API: never reuse
-/// one. docs/RESULT_CODES.md is held equal to this list by a test.
+/// All outcomes. The numbers are part of the API: never reuse one. A test keeps
+/// docs/RESULT_CODES.md equal to this list.
 enum class ResultCode : int {
   kOk = 0,
   // 1xx: the input is wrong; nothing was stored and nothing ran.
@@ -42,13 +42,13 @@
   kAlreadyDone = 402,
   kAttemptsExhausted = 403,
   kItemImpossible = 404,
-  // 9xx: a fault of papayarack itself.
+  // 9xx: an internal error of papayarack.
   kInternal = 900,
   kStorageDamaged = 901,
   kProtocol = 902,
 };
 
-/// What one result code means to a caller and to the person on call.
+/// The meaning of a result code for callers and operators.
 struct ResultCodeInfo {
   ResultCode code;
   std::string_view name;
@@ -61,20 +61,19 @@
 /// All codes in ascending order. Thread safety: immutable.
 std::span<const ResultCodeInfo> AllResultCodes();
 
-/// The entry for `code`; that of kInternal for a number not in the list.
+/// The entry for `code`; that of kInternal for an unknown number.
 const ResultCodeInfo& Describe(ResultCode code);
 
 /// An outcome with its explanation.
 struct Result {
   ResultCode code = ResultCode::kOk;
-  std::string text;  ///< For people; names field and place.
-  std::chrono::milliseconds retry_after{0};  ///< Zero: no advice on when.
+  std::string text;  ///< For people; names the field and its location.
+  std::chrono::milliseconds retry_after{0};  ///< Zero: not specified.
 
   bool Ok() const { return this->code == ResultCode::kOk; }
 };
 
-/// The one exception type of the project: a Result that stopped the work at
-/// hand.
+/// The only exception type of the project: a Result that ended an operation.
 class ResultError : public std::runtime_error {
  public:
   ResultError(ResultCode code, const std::string& text);
--- a/src/global/settings.h
+++ b/src/global/settings.h
@@ -25,7 +25,7 @@
 /// Parses "host:port". Throws ResultError(kBadInput) naming `field`.
 Endpoint ParseEndpoint(std::string_view text, std::string_view field);
 
-/// One control member as the settings name it.
+/// One control member in the settings.
 struct ControlMemberSettings {
   std::uint64_t id = 0;
   std::string address;  ///< host:port of its peer listener.
@@ -36,7 +36,7 @@
   std::string service;
   std::string kind = "engine";  ///< "engine" or "plain".
   std::string address;
-  std::string gate_listen;  ///< Peer listener of the gate in front of it.
+  std::string gate_listen;  ///< Peer listener of its gate.
   bool checks_fencing = true;
 };
 
@@ -47,8 +47,8 @@
   std::string zone;
   std::string
       peer_listen;  ///< side and control: the listener for other processes.
-  std::string http_listen;      ///< entry: callers' HTTP.
-  std::string operator_listen;  ///< every role: operators' HTTP.
+  std::string http_listen;      ///< entry: HTTP for callers.
+  std::string operator_listen;  ///< every role: HTTP for operators.
   std::string data_folder;      ///< control: its files.
   std::string platform_list;    ///< Path of the platform's VM list, empty when
                                 ///< there is none.
@@ -59,7 +59,8 @@
   std::chrono::milliseconds lease{8000};
   std::chrono::milliseconds shutdown_grace{30000};
   std::chrono::milliseconds drain{
-      1000};  ///< entry: unhealthy but serving, for the balancer.
+      1000};  ///< entry: time of serving while unhealthy, until the balancer
+              ///< notices.
   std::size_t max_body_bytes = 64U << 20U;
   std::size_t max_line_bytes = 1U << 20U;
   std::size_t max_job_items = 63000;
@@ -70,8 +71,8 @@
 /// The JSON schema of a settings file.
 const nlohmann::json& SettingsSchema();
 
-/// Reads checked settings. Throws ResultError(kBadInput) that lists every error
-/// with its JSON pointer.
+/// Validates and reads settings. Throws ResultError(kBadInput) that lists every
+/// schema error with its JSON pointer.
 Settings ParseSettings(const nlohmann::json& document);
 
 }  // namespace papayarack
--- a/src/global/tests/global_tests.cpp
+++ b/src/global/tests/global_tests.cpp
@@ -11,7 +11,7 @@
 
 namespace papayarack {
 
-TEST_CASE("a settings file") {
+TEST_CASE("settings") {
   nlohmann::json document = {
       {"role", "side"},
       {"name", "side-1"},
@@ -21,12 +21,12 @@
        {{{"service", "counter"},
          {"address", "127.0.0.1:9001"},
          {"gate_listen", "127.0.0.1:7101"}}}}};
-  SECTION("that is right is read") {
+  SECTION("that are valid are read") {
     const Settings settings = ParseSettings(document);
     CHECK(settings.upstreams.at(0).service == "counter");
     CHECK(settings.control.at(0).id == 1);
   }
-  SECTION("with several errors names every one with its place") {
+  SECTION("with several errors report each error with its JSON pointer") {
     document["colour"] = "red";
     document["heartbeat_ms"] = "soon";
     document["upstreams"][0]["kind"] = "steam";
@@ -41,13 +41,13 @@
     CHECK(text.find("/heartbeat_ms") != std::string::npos);
     CHECK(text.find("/upstreams/0/kind") != std::string::npos);
   }
-  SECTION("that is not JSON names line and column") {
+  SECTION("that are not JSON report line and column") {
     CHECK_THROWS_WITH(ParseJson("{\n \"a\": ]", "settings"),
                       Catch::Contains("line 2") && Catch::Contains("column"));
   }
 }
 
-TEST_CASE("an endpoint is host and port") {
+TEST_CASE("an endpoint consists of host and port") {
   CHECK(ParseEndpoint("127.0.0.1:80", "/x").port == 80);
   CHECK_THROWS_AS(ParseEndpoint("127.0.0.1", "/x"), ResultError);
   CHECK_THROWS_AS(ParseEndpoint("127.0.0.1:99999", "/x"), ResultError);
@@ -58,11 +58,11 @@
   BoundedRing<int> ring(2);
   REQUIRE(ring.TryPush(1));
   REQUIRE(ring.TryPush(2));
-  SECTION("refuses when it is full and loses nothing") {
+  SECTION("refuses elements when it is full and loses none") {
     CHECK_FALSE(ring.TryPush(3));
     CHECK(ring.PopAll(Duration(0)) == std::vector<int>{1, 2});
   }
-  SECTION("gives what is inside after it is closed, then ends") {
+  SECTION("returns its remaining elements after it is closed, then nothing") {
     ring.Close();
     CHECK_FALSE(ring.TryPush(3));
     CHECK(ring.Pop(Duration(0)) == 1);
@@ -89,13 +89,13 @@
     CHECK(DecodeMessage<NewMessage>(EncodeMessage(OldMessage{7})).note ==
           "none");
   }
-  SECTION("bytes that are no message are an error, not a crash") {
+  SECTION("malformed bytes cause an error, not a crash") {
     CHECK_THROWS_AS(DecodeMessage<NewMessage>("\xc1\xff junk"), ResultError);
     CHECK_THROWS_AS(DecodeMessage<NewMessage>(""), ResultError);
   }
 }
 
-TEST_CASE("a byte stream is cut into whole messages however it arrives") {
+TEST_CASE("a byte stream is split into messages regardless of its chunks") {
   const std::string stream =
       MessageSplitter::Frame("alpha") + MessageSplitter::Frame("");
   MessageSplitter splitter;
@@ -122,7 +122,7 @@
   }
 }
 
-TEST_CASE("the page of result codes says what the code says") {
+TEST_CASE("docs/RESULT_CODES.md matches the table of result codes") {
   const std::string page = ReadWholeFile(std::string(PAPAYARACK_SOURCE_DIR) +
                                          "/docs/RESULT_CODES.md");
   std::size_t rows = 0;
@@ -135,14 +135,14 @@
     CHECK(page.find(row) != std::string::npos);
     ++rows;
   }
-  constexpr std::size_t kHeadRows = 2;
+  constexpr std::size_t kHeaderRows = 2;
   CHECK(static_cast<std::size_t>(std::ranges::count(page, '\n')) >=
-        rows + kHeadRows);
+        rows + kHeaderRows);
   CHECK(static_cast<std::size_t>(std::ranges::count(page, '|')) ==
-        (rows + kHeadRows) * 7);
+        (rows + kHeaderRows) * 7);
 }
 
-TEST_CASE("metrics show counters, gauges and quantiles") {
+TEST_CASE("the exposition contains counters, gauges and quantiles") {
   Metrics metrics;
   metrics.Add("requests_total", 2);
   metrics.Set("queue_requests", 3);
@@ -155,7 +155,7 @@
   CHECK(text.find("papayarack_wait_seconds_count 1000") != std::string::npos);
 }
 
-TEST_CASE("names that differ in their labels are one family, typed once") {
+TEST_CASE("names that differ only in labels share one TYPE line") {
   Metrics metrics;
   metrics.SetTotal("sent_bytes_total{path=\"/b\"}", 7);
   metrics.SetTotal("sent_bytes_total{path=\"/a\"}", 3);
--- a/src/global/tests/processortime.h
+++ b/src/global/tests/processortime.h
@@ -7,8 +7,8 @@
 
 namespace papayarack {
 
-/// Processor time of the calling thread for `work`: unlike the clock's, it does
-/// not grow beside other processes.
+/// CPU time of the calling thread for `work`: unlike wall-clock time, it does
+/// not grow when other processes run.
 template <typename Work>
 std::chrono::nanoseconds ProcessorTimeOf(const Work& work) {
   const auto now = [] {
--- a/src/global/timepoint.h
+++ b/src/global/timepoint.h
@@ -10,17 +10,16 @@
 
 using Duration = std::chrono::microseconds;
 
-/// Monotonic time; every core receives it as an argument and never reads a
+/// Monotonic time; each core receives it as an argument and never reads a
 /// clock.
 using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-/// Wall-clock milliseconds since 1970, for what is stored and shown to people.
+/// Wall-clock milliseconds since 1970, for stored and displayed times.
 using WallMillis = std::int64_t;
 
-/// Time since boot, suspended time included. Symptom guarded against: a VM is
-/// suspended for seconds and a leader then still believes that it has heard
-/// from its quorum a moment ago, because the steady clock stood still.
-/// Thread safety: any thread.
+/// Time since boot, including time suspended. The steady clock stops while a VM
+/// is suspended, so after a suspension of seconds a leader would still count
+/// its quorum as just heard from. Thread safety: any thread.
 inline Time MonotonicNow() {
   timespec now{};
   clock_gettime(CLOCK_BOOTTIME, &now);
--- a/src/global/variantcodec.h
+++ b/src/global/variantcodec.h
@@ -11,7 +11,7 @@
 
 namespace papayarack {
 
-/// Joins the visitors of one std::visit.
+/// Combines lambdas into one visitor for std::visit.
 template <typename... Visitors>
 struct Overloaded : Visitors... {
   using Visitors::operator()...;
@@ -19,8 +19,8 @@
 template <typename... Visitors>
 Overloaded(Visitors...) -> Overloaded<Visitors...>;
 
-/// A variant on the wire: the position of its alternative, then the
-/// alternative's bytes. Alternatives are only ever added at the end.
+/// A variant on the wire: the index of its alternative, then the encoded
+/// alternative. Alternatives are only ever added at the end.
 struct TaggedMessage {
   std::uint32_t tag = 0;
   std::string body;
@@ -57,8 +57,8 @@
 }
 }  // namespace internal
 
-/// Throws ResultError(kProtocol) for malformed bytes or an alternative this
-/// release lacks.
+/// Throws ResultError(kProtocol) for malformed bytes or an alternative that
+/// this release does not have.
 template <typename Variant>
 Variant DecodeVariant(std::string_view bytes) {
   const auto tagged = DecodeMessage<TaggedMessage>(bytes);
--- a/src/nodes/batchrunner.h
+++ b/src/nodes/batchrunner.h
@@ -41,14 +41,14 @@
   static constexpr std::size_t kMostReportBytes = 32U << 10U;
   /// An answer that the leader gave at once is here after this long: ten round
   /// trips between regions of one continent (20 ms each), or 200 KB at the pace
-  /// of TimeToCarry. Doubled by each pull that was given up in vain, so that an
-  /// answer of any size arrives in the end.
+  /// of TransferTime. Doubled by each pull that was given up in vain, so that
+  /// an answer of any size arrives in the end.
   static constexpr std::chrono::milliseconds kAnswerTime{200};
   /// The time stops growing here: the leader holds a pull for 1 s at most, and
   /// this leaves 0.6 s for its answer, as one attempt does.
   static constexpr std::chrono::milliseconds kLongestAnswerTime{1600};
   /// Most bytes of texts that one pull hands back, unless a single one has
-  /// more: a quarter of a second on a link at the pace of TimeToCarry, within
+  /// more: a quarter of a second on a link at the pace of TransferTime, within
   /// one attempt.
   static constexpr std::size_t kMostReturnBytes = 256U << 10U;
   /// Wait after the first report that failed; doubled by each further one. It
--- a/src/nodes/internal/operatorfront.cpp
+++ b/src/nodes/internal/operatorfront.cpp
@@ -3,8 +3,8 @@
 #include <chrono>
 #include <utility>
 
-#include "global/linkpace.h"
 #include "global/logging.h"
+#include "global/transfertime.h"
 #include "global/variantcodec.h"
 #include "nodes/plainresponses.h"
 
@@ -42,7 +42,7 @@
   // Whoever sends a large configuration waits longer for its answer; at the
   // time of a small one a single attempt would use up the call. The text moves
   // twice before that: to the leader, and on to whoever is to obey it.
-  const std::chrono::milliseconds carry = TimeToCarry(body.size());
+  const std::chrono::milliseconds carry = TransferTime(body.size());
   this->runtime.coordination->Call(
       path, std::move(body), kOperatorTime + 2 * carry, kOperatorTry + carry,
       [this, exchange, path, begun = MonotonicNow(),
