--- a/src/http/headers.h
+++ b/src/http/headers.h
@@ -15,20 +15,20 @@
   std::string value;
 };
 
-/// The header fields of one message, in the order of the wire. Names compare
-/// without regard to case. Thread safety: none.
+/// The header fields of one message, in wire order. Names are case-insensitive.
+/// Thread safety: none.
 class Headers {
  public:
   Headers() = default;
   Headers(std::initializer_list<Header> fields) : list(fields) {}
 
   void Add(std::string_view name, std::string_view value);
-  /// Replaces every field of that name by one.
+  /// Replaces all fields of that name by one.
   void Set(std::string_view name, std::string_view value);
   void Remove(std::string_view name);
-  /// The first value; nothing when there is none.
+  /// The first value; nothing if there is none.
   std::optional<std::string_view> Find(std::string_view name) const;
-  /// The first value, or an empty text.
+  /// The first value, or an empty string.
   std::string_view Get(std::string_view name) const;
   bool Has(std::string_view name) const { return this->Find(name).has_value(); }
   /// True when the comma-separated value of `name` lists `token`.
@@ -39,14 +39,15 @@
   std::vector<Header> list;
 };
 
-/// Compares two header names without regard to case. Thread safety: any thread.
+/// Compares two header names case-insensitively. Thread safety: any thread.
 bool SameName(std::string_view one, std::string_view other);
 
-/// Removes the fields that concern one connection only (RFC 9110, section
-/// 7.6.1), those that `Connection` names included.
+/// Removes the hop-by-hop fields (RFC 9110, section 7.6.1), including those
+/// listed in `Connection`.
 void RemoveConnectionFields(Headers& headers);
 
-/// A whole number from a header or query value; nothing when it is not one.
+/// Parses an unsigned integer of a header or query value; nothing if it is not
+/// one.
 std::optional<std::uint64_t> ParseNumber(std::string_view text);
 
 }  // namespace papayarack::http
--- a/src/http/httpclient.h
+++ b/src/http/httpclient.h
@@ -17,7 +17,7 @@
 
 namespace papayarack::http {
 
-/// Names one call of one client.
+/// Identifies one call of a client.
 using HttpCallId = std::uint64_t;
 
 /// One request to send.
@@ -27,15 +27,15 @@
   std::string target;
   Headers headers;  ///< Content-Length is added.
   std::string body;
-  /// Name and value of the header by which an answer is known to be this
-  /// call's; an answer that names another is skipped. Empty: not checked.
+  /// Name and value of the header that identifies the response to this call; a
+  /// response with another value is skipped. Empty: not checked.
   Header identity;
-  /// Whether a kept connection may carry it. A kept connection can have been
-  /// forgotten by the peer, so the outcome of a failure on one is unknown.
+  /// Whether a pooled connection may be used. The peer may already have closed
+  /// it, so the outcome of a failure on one is unknown.
   bool reuse = true;
 };
 
-/// The head of an answer.
+/// Status and header fields of a response.
 struct HttpHead {
   int status = 0;
   Headers headers;
@@ -43,14 +43,14 @@
 
 /// How a call ended.
 enum class HttpEnd {
-  kComplete,   ///< The whole answer arrived.
-  kNotSent,    ///< No byte of the request left: it did not run.
-  kBroken,     ///< The connection ended or was reset; it may have run.
-  kMalformed,  ///< What arrived is not an answer; it may have run.
+  kComplete,   ///< The complete response arrived.
+  kNotSent,    ///< No byte of the request was sent: it did not run.
+  kBroken,     ///< The connection ended or was reset; the request may have run.
+  kMalformed,  ///< The response is malformed; the request may have run.
 };
 
-/// Called on the loop, in this order; they must not wait. on_end is called
-/// once, and not at all after Cancel.
+/// Called on the event loop, in this order; they must not block. on_end is
+/// called once, and not at all after Cancel.
 struct HttpCallHandlers {
   std::function<void(const HttpHead&)> on_head;
   std::function<void(std::string_view bytes)> on_body;
@@ -65,8 +65,8 @@
   std::size_t max_head_bytes = 32U << 10U;
 };
 
-/// An event-driven HTTP/1.1 client with kept connections. Thread safety: none,
-/// the loop's thread.
+/// An event-driven HTTP/1.1 client with pooled connections. Thread safety:
+/// none, the loop's thread.
 class HttpClient {
  public:
   /// Precondition: `context` outlives the client.
@@ -78,13 +78,13 @@
 
   /// Starts a call. No handler is called before this returns.
   HttpCallId Call(HttpCall call, HttpCallHandlers handlers);
-  /// Gives up: the connection is closed, which is how the peer learns of it. No
+  /// Cancels a call by closing its connection, which notifies the peer. No
   /// handler is called any more.
   void Cancel(HttpCallId call);
-  /// Closes the kept connections to `peer` that carry no call: for a peer that
-  /// is known to have started again. Symptom guarded against: a request may
-  /// have run and cannot be repeated. It was sent on a connection that its peer
-  /// had forgotten, and broke without an answer.
+  /// Closes the idle connections to `peer`, for a peer that is known to have
+  /// restarted. Otherwise the next request would be sent on a connection that
+  /// the peer no longer knows and break without a response; it might have run,
+  /// so it could not be retried.
   void CloseIdle(const Endpoint& peer);
   std::uint64_t ConnectionsMade() const;
 
--- a/src/http/internal/eventsplitter.cpp
+++ b/src/http/internal/eventsplitter.cpp
@@ -5,7 +5,7 @@
 namespace papayarack::http {
 namespace {
 
-/// Takes the next line off `text`, without its line end.
+/// Removes the next line from `text` and returns it without its line end.
 std::string_view TakeLine(std::string_view& text) {
   const std::size_t end = text.find('\n');
   std::string_view line = text.substr(0, end);
@@ -16,7 +16,7 @@
   return line;
 }
 
-/// The value behind "name:", without the one space that may stand first.
+/// The value after "name:", without one optional leading space.
 std::string_view ValueAfter(std::string_view line, std::size_t name_size) {
   std::string_view value = line.substr(name_size + 1);
   if (value.starts_with(' ')) {
@@ -25,7 +25,8 @@
   return value;
 }
 
-/// Length of the first event with its blank line; npos when it is not whole.
+/// Length of the first event including its blank line; npos when it is
+/// incomplete.
 std::size_t EventEnd(std::string_view text) {
   for (std::size_t at = text.find('\n'); at != std::string_view::npos;
        at = text.find('\n', at + 1)) {
--- a/src/http/internal/headparser.cpp
+++ b/src/http/internal/headparser.cpp
@@ -5,7 +5,7 @@
 
 namespace papayarack::http {
 
-/// The library's callbacks; each returns 0 to go on.
+/// Callbacks of http_parser; each returns 0 to continue.
 struct ParserHooks {
   static HeadParser& Owner(http_parser* parser) {
     return *static_cast<HeadParser*>(parser->data);
@@ -61,8 +61,8 @@
     owner.head_too_large = owner.head_bytes > owner.max_head_bytes;
     return owner.head_too_large ? 1 : 0;
   }
-  /// Whether a response without length and chunks ends with its connection;
-  /// the library keeps its own function for this private.
+  /// Whether a response without length or chunks ends with its connection;
+  /// http_parser does not export its own function for this.
   static int http_message_needs_eof(const http_parser* parser) {
     constexpr std::uint64_t kNoLength = UINT64_MAX;
     const unsigned status = parser->status_code;
@@ -121,7 +121,7 @@
   this->in_value = false;
 }
 
-std::size_t HeadParser::Take(std::string_view bytes) {
+std::size_t HeadParser::Parse(std::string_view bytes) {
   if (this->complete || this->failed()) {
     return 0;
   }
@@ -129,8 +129,7 @@
       &this->parser, &ParserHooks::Settings(), bytes.data(), bytes.size());
   const auto code = HTTP_PARSER_ERRNO(&this->parser);
   this->error = code != HPE_OK && code != HPE_PAUSED;
-  // A request to switch protocols is refused by its owner; the bytes behind it
-  // are not ours to read.
+  // A request to switch protocols is refused; the bytes after it are not HTTP.
   this->error = this->error || this->parser.upgrade != 0;
   if (this->complete && !this->failed()) {
     this->callbacks.on_complete();
@@ -138,7 +137,7 @@
   return used;
 }
 
-void HeadParser::TakeEnd() {
+void HeadParser::ParseEnd() {
   if (this->complete || this->failed()) {
     return;
   }
--- a/src/http/internal/headparser.h
+++ b/src/http/internal/headparser.h
@@ -11,14 +11,14 @@
 
 namespace papayarack::http {
 
-/// The library's incremental HTTP/1.1 parser with its callbacks gathered into
-/// whole heads. It stops after each message, so that bytes behind one message
-/// are never taken for a part of it. Thread safety: none.
+/// The incremental HTTP/1.1 parser of http_parser, with header fields collected
+/// before on_head. It stops after each message, so that the bytes of the next
+/// one are never parsed as part of it. Thread safety: none.
 class HeadParser {
  public:
   enum class Kind { kRequest, kResponse };
 
-  /// What one message brings, in this order.
+  /// Called for one message, in this order.
   struct Callbacks {
     std::function<void()> on_head;
     std::function<void(std::string_view bytes)> on_body;
@@ -29,22 +29,22 @@
   HeadParser(const HeadParser&) = delete;
   HeadParser& operator=(const HeadParser&) = delete;
 
-  /// Takes bytes up to the end of the current message; returns how many were
-  /// used. Check `failed` afterwards.
-  std::size_t Take(std::string_view bytes);
-  /// The connection ended; completes a message that runs to the connection's
-  /// end.
-  void TakeEnd();
+  /// Parses bytes up to the end of the current message; returns how many were
+  /// consumed. Check `failed` afterwards.
+  std::size_t Parse(std::string_view bytes);
+  /// Reports the end of the connection, which completes a message without
+  /// length or chunks.
+  void ParseEnd();
   /// Prepares for the next message of the connection.
   void Next();
 
   bool failed() const { return this->error || this->head_too_large; }
   bool TooLarge() const { return this->head_too_large; }
   bool MessageComplete() const { return this->complete; }
-  /// True once the first byte of a message was seen.
+  /// True once the first byte of a message was parsed.
   bool Started() const { return this->started; }
   bool HeadComplete() const { return this->head_complete; }
-  /// Whether the connection may serve another message after this one.
+  /// Whether the connection may carry another message after this one.
   bool KeepAlive() const { return this->keep_alive; }
   bool RunsToConnectionEnd() const { return this->to_end; }
   int status() const { return static_cast<int>(this->parser.status_code); }
--- a/src/http/internal/httpclient.cpp
+++ b/src/http/internal/httpclient.cpp
@@ -18,14 +18,15 @@
 namespace {
 
 constexpr std::size_t kReadChunk = 4096;
-/// How often connecting and idle connections are checked.
-constexpr std::chrono::milliseconds kSweep{100};
-/// What is taken off a peer's announced idle timeout: the request must arrive
-/// before the peer closes.
+/// Interval of checks for connect and idle timeouts.
+constexpr std::chrono::milliseconds kSweepInterval{100};
+/// Subtracted from the idle timeout that a peer announces: the request must
+/// arrive before the peer closes the connection.
 constexpr std::chrono::milliseconds kIdleMargin{500};
 
-/// `timeout=N` of a Keep-Alive header; nothing when there is none.
-std::optional<std::chrono::milliseconds> AnnouncedIdle(const Headers& headers) {
+/// `timeout=N` of a Keep-Alive header; nothing if there is none.
+std::optional<std::chrono::milliseconds> AnnouncedIdleTimeout(
+    const Headers& headers) {
   constexpr std::string_view kName = "timeout=";
   const std::string_view value = headers.Get("Keep-Alive");
   const std::size_t at = value.find(kName);
@@ -62,8 +63,8 @@
     HttpCallId call = 0;  ///< Zero while idle.
     bool connected = false;
     bool sent_any = false;
-    bool skipping = false;  ///< An answer to an earlier call is passing by.
-    Time since{};           ///< Start of connecting, or of idleness.
+    bool skipping = false;  ///< Skipping a response to another call.
+    Time since{};           ///< Start of connecting, or of being idle.
     std::chrono::milliseconds idle_limit{0};
   };
   using LinkPtr = std::shared_ptr<Link>;
@@ -102,7 +103,8 @@
     }
     const Time now = MonotonicNow();
     while (!found->second.empty()) {
-      // The one used last is the least likely to have been forgotten.
+      // The connection used last is least likely to have been closed by the
+      // peer.
       LinkPtr link = found->second.back();
       found->second.pop_back();
       if (link->socket.is_open() && now - link->since < link->idle_limit) {
@@ -118,8 +120,8 @@
     const HttpCallId id = ++this->last_call;
     const std::string address = call.peer.ToString();
     LinkPtr link = call.reuse ? this->TakeIdle(address) : nullptr;
-    const bool kept = link != nullptr;
-    if (!kept) {
+    const bool reused = link != nullptr;
+    if (!reused) {
       link =
           std::make_shared<Link>(this->context, this->options.max_head_bytes);
       link->address = address;
@@ -130,7 +132,7 @@
     this->Attach(link);
     this->calls.emplace(
         id, Pending{std::move(handlers), std::move(call.identity), link});
-    if (kept) {
+    if (reused) {
       link->parser.Next();
       this->SendRequest(link);
     } else {
@@ -200,8 +202,8 @@
     link->sent_any = true;
     asio::async_write(link->socket, asio::buffer(link->request),
                       [link](std::error_code, std::size_t) {
-                        // A failed write shows as the end of the read, which
-                        // also brings what the peer may have answered before.
+                        // A failed write also ends the read, which first
+                        // returns any response that the peer sent before.
                       });
   }
 
@@ -214,7 +216,7 @@
             return;
           }
           if (link->call == 0) {
-            this->ForgetIdle(link);
+            this->CloseIdleLink(link);
             return;
           }
           if (error) {
@@ -232,9 +234,10 @@
     }
     const Header& identity = found->second.identity;
     const auto named = link.parser.headers.Find(identity.name);
-    // Symptom guarded against: a caller gets another caller's answer. A faulty
-    // peer answers a request twice on a kept connection; the second answer then
-    // stands where the next call's is expected. The id tells them apart.
+    // Prevents a caller from getting the response to another call: if a faulty
+    // peer answers a request twice on a pooled connection, the second response
+    // arrives where that of the next call is expected. The identity header
+    // tells them apart.
     link.skipping =
         !identity.name.empty() && named.has_value() && *named != identity.value;
     if (link.skipping || link.parser.status() / 100 == 1) {
@@ -246,10 +249,10 @@
   void OnBytes(const LinkPtr& link, std::string_view bytes) {
     while (!bytes.empty() && link->call != 0) {
       const HttpCallId call = link->call;
-      const std::size_t used = link->parser.Take(bytes);
+      const std::size_t used = link->parser.Parse(bytes);
       bytes.remove_prefix(std::min(used, bytes.size()));
       if (link->call != call) {
-        return;  // Cancelled by its owner meanwhile.
+        return;  // Cancelled by a handler.
       }
       if (link->parser.failed()) {
         this->End(link, HttpEnd::kMalformed);
@@ -264,7 +267,7 @@
     }
   }
 
-  /// Returns true when the call is over.
+  /// Returns true when the call is complete.
   bool OnMessage(const LinkPtr& link, std::string_view rest) {
     const bool interim = link->parser.status() / 100 == 1;
     if (link->skipping || interim) {
@@ -283,14 +286,14 @@
     this->calls.erase(found);
     link->call = 0;
     if (keep) {
-      this->Keep(link);
+      this->AddIdle(link);
     } else {
       Close(*link);
     }
     on_end(HttpEnd::kComplete);
   }
 
-  void Keep(const LinkPtr& link) {
+  void AddIdle(const LinkPtr& link) {
     auto& links = this->idle[link->address];
     if (links.size() >= this->options.max_idle_per_peer) {
       Close(*link);
@@ -299,16 +302,16 @@
     link->since = MonotonicNow();
     link->request.clear();
     link->idle_limit = this->options.max_idle;
-    if (const auto announced = AnnouncedIdle(link->parser.headers)) {
+    if (const auto announced = AnnouncedIdleTimeout(link->parser.headers)) {
       link->idle_limit = std::min(link->idle_limit, *announced - kIdleMargin);
     }
     links.push_back(link);
-    // An open read shows at once when the peer closes, or sends what nobody
-    // asked for: either way the connection is not used again.
+    // A pending read notices when the peer closes the connection or sends
+    // unexpected data; either way it is not reused.
     this->Read(link);
   }
 
-  void ForgetIdle(const LinkPtr& link) {
+  void CloseIdleLink(const LinkPtr& link) {
     Close(*link);
     const auto found = this->idle.find(link->address);
     if (found != this->idle.end()) {
@@ -319,7 +322,7 @@
   void OnEnd(const LinkPtr& link, bool orderly) {
     if (orderly && link->parser.HeadComplete() && !link->skipping &&
         link->parser.RunsToConnectionEnd()) {
-      link->parser.TakeEnd();
+      link->parser.ParseEnd();
       if (link->parser.MessageComplete()) {
         this->Complete(link, false);
         return;
@@ -362,17 +365,17 @@
   }
 
   void Sweep() {
-    this->sweep.expires_after(kSweep);
+    this->sweep.expires_after(kSweepInterval);
     this->sweep.async_wait([this, alive = this->alive](std::error_code error) {
       if (!error && *alive) {
-        this->DropSlow();
-        this->DropIdle();
+        this->FailSlowConnects();
+        this->CloseExpiredIdle();
         this->Sweep();
       }
     });
   }
 
-  void DropSlow() {
+  void FailSlowConnects() {
     const Time now = MonotonicNow();
     std::vector<LinkPtr> slow;
     for (const auto& [id, call] : this->calls) {
@@ -386,7 +389,7 @@
     }
   }
 
-  void DropIdle() {
+  void CloseExpiredIdle() {
     const Time now = MonotonicNow();
     for (auto& [address, links] : this->idle) {
       std::erase_if(links, [now](const LinkPtr& link) {
@@ -408,8 +411,7 @@
   std::map<std::string, std::vector<LinkPtr>> idle;
   HttpCallId last_call = 0;
   std::uint64_t connections_made = 0;
-  /// False once the client is gone, for completions that the loop still has to
-  /// run.
+  /// False after destruction, for completion handlers still queued on the loop.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/http/internal/httpserver.cpp
+++ b/src/http/internal/httpserver.cpp
@@ -18,12 +18,12 @@
 using ConnectionId = std::uint64_t;
 
 constexpr std::size_t kReadChunk = 4096;
-/// Bytes of further requests that a caller may send ahead of its answer.
-constexpr std::size_t kMaxAhead = 64U << 10U;
-/// How often timeouts are checked; they are seconds long.
-constexpr std::chrono::milliseconds kSweep{250};
-/// How long the end of a refused caller's bytes is awaited: closing with unread
-/// bytes resets the connection, and the caller would not see the refusal.
+/// Bytes of pipelined requests that a client may send before its response.
+constexpr std::size_t kMaxPipelinedBytes = 64U << 10U;
+/// Interval of timeout checks; timeouts are seconds long.
+constexpr std::chrono::milliseconds kSweepInterval{250};
+/// How long to wait for a refused client to close the connection: closing with
+/// unread bytes resets it, and the client would not receive the response.
 constexpr std::chrono::milliseconds kLinger{1000};
 
 }  // namespace
@@ -56,8 +56,8 @@
     std::string body;
     bool head_done = false;
     std::array<char, kReadChunk> chunk{};
-    std::string ahead;     ///< Read, not parsed yet.
-    std::string outgoing;  ///< Waits for the write under way.
+    std::string unparsed;  ///< Read, not parsed yet.
+    std::string outgoing;  ///< Queued behind the current write.
     std::string writing;
     bool write_under_way = false;
     bool read_under_way = false;
@@ -66,7 +66,7 @@
     bool chunked = false;
     bool keep_alive = false;
     bool close_after_write = false;
-    Time since{};  ///< Start of the wait that a timeout bounds.
+    Time since{};  ///< Start of the wait that a timeout limits.
   };
   using ConnectionPtr = std::shared_ptr<Connection>;
 
@@ -98,13 +98,13 @@
         return;
       }
       if (!error && this->connections.size() < this->limits.max_connections) {
-        this->Adopt(std::move(socket));
+        this->AddConnection(std::move(socket));
       }
       this->Accept();
     });
   }
 
-  void Adopt(asio::ip::tcp::socket socket) {
+  void AddConnection(asio::ip::tcp::socket socket) {
     std::error_code ignored;
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     const ConnectionId id = ++this->last_connection;
@@ -142,27 +142,28 @@
   void OnBytes(ConnectionId id, const ConnectionPtr& connection,
                std::string_view bytes) {
     if (connection->phase != Phase::kLingering) {
-      connection->ahead.append(bytes);
+      connection->unparsed.append(bytes);
     }
     this->Parse(id, connection);
     const auto still = this->connections.find(id);
     if (still == this->connections.end()) {
       return;
     }
-    // While an answer is under way the read stays open: its end is how a
-    // leaving caller is noticed. A caller that sends far ahead has to wait.
-    if (connection->ahead.size() < kMaxAhead) {
+    // The read stays pending while a response is being sent, as its end reports
+    // that the client disconnected. Reading pauses for a client that sends too
+    // much ahead.
+    if (connection->unparsed.size() < kMaxPipelinedBytes) {
       this->Read(id, connection);
     }
   }
 
   void Parse(ConnectionId id, const ConnectionPtr& connection) {
-    if (connection->phase != Phase::kReading || connection->ahead.empty()) {
+    if (connection->phase != Phase::kReading || connection->unparsed.empty()) {
       return;
     }
     const bool fresh = !connection->parser.Started();
-    const std::size_t used = connection->parser.Take(connection->ahead);
-    connection->ahead.erase(0, used);
+    const std::size_t used = connection->parser.Parse(connection->unparsed);
+    connection->unparsed.erase(0, used);
     if (connection->parser.failed()) {
       this->Refuse(connection, connection->parser.TooLarge() ? 431 : 400);
       return;
@@ -191,9 +192,9 @@
       this->Refuse(connection, 413);
       return;
     }
-    const bool asks =
+    const bool expects_continue =
         connection->parser.headers.ListsToken("Expect", "100-continue");
-    if (asks && !connection->parser.MessageComplete()) {
+    if (expects_continue && !connection->parser.MessageComplete()) {
       this->Send(connection, "HTTP/1.1 100 Continue\r\n\r\n");
     }
   }
@@ -211,7 +212,8 @@
     this->handlers.on_request(connection->exchange, std::move(request));
   }
 
-  /// Answers a request that cannot be read; the rest of its bytes is skipped.
+  /// Answers a request that cannot be parsed; the rest of its bytes is
+  /// discarded.
   void Refuse(const ConnectionPtr& connection, int status) {
     const std::string head =
         fmt::format("HTTP/1.1 {} {}\r\n", status, ReasonFor(status));
@@ -223,41 +225,42 @@
   void Linger(const ConnectionPtr& connection) {
     connection->phase = Phase::kLingering;
     connection->since = MonotonicNow();
-    connection->ahead.clear();
+    connection->unparsed.clear();
     connection->body.clear();
     connection->close_after_write = true;
-    this->FinishWrites(connection);
+    this->ShutdownAfterWrites(connection);
   }
 
   void Send(const ConnectionPtr& connection, std::string_view bytes) {
     connection->outgoing.append(bytes);
-    this->Pump(connection);
+    this->StartWrite(connection);
   }
 
-  void Pump(const ConnectionPtr& connection) {
+  void StartWrite(const ConnectionPtr& connection) {
     if (connection->write_under_way || connection->outgoing.empty() ||
         !connection->socket.is_open()) {
       return;
     }
     connection->write_under_way = true;
     connection->writing = std::exchange(connection->outgoing, {});
-    asio::async_write(connection->socket, asio::buffer(connection->writing),
-                      [this, connection, alive = this->alive](
-                          std::error_code error, std::size_t) {
-                        if (!*alive) {
-                          return;
-                        }
-                        connection->write_under_way = false;
-                        connection->writing.clear();
-                        if (error) {
-                          return;  // The read ends as well and tells the owner.
-                        }
-                        this->Pump(connection);
-                        this->FinishWrites(connection);
-                      });
+    asio::async_write(
+        connection->socket, asio::buffer(connection->writing),
+        [this, connection, alive = this->alive](std::error_code error,
+                                                std::size_t) {
+          if (!*alive) {
+            return;
+          }
+          connection->write_under_way = false;
+          connection->writing.clear();
+          if (error) {
+            return;  // The read fails as well and notifies the owner.
+          }
+          this->StartWrite(connection);
+          this->ShutdownAfterWrites(connection);
+        });
   }
 
-  void FinishWrites(const ConnectionPtr& connection) {
+  void ShutdownAfterWrites(const ConnectionPtr& connection) {
     if (connection->close_after_write && !connection->write_under_way &&
         connection->outgoing.empty() && connection->socket.is_open()) {
       std::error_code ignored;
@@ -267,18 +270,18 @@
   }
 
   ConnectionPtr Serving(ExchangeId exchange) const {
-    const auto place = this->exchanges.find(exchange);
-    if (place == this->exchanges.end()) {
+    const auto found = this->exchanges.find(exchange);
+    if (found == this->exchanges.end()) {
       return nullptr;
     }
-    return this->connections.at(place->second);
+    return this->connections.at(found->second);
   }
 
   void Finish(ExchangeId exchange) {
-    const auto place = this->exchanges.find(exchange);
-    const ConnectionId id = place->second;
+    const auto found = this->exchanges.find(exchange);
+    const ConnectionId id = found->second;
     const ConnectionPtr connection = this->connections.at(id);
-    this->exchanges.erase(place);
+    this->exchanges.erase(found);
     if (!connection->keep_alive) {
       this->Linger(connection);
       return;
@@ -287,8 +290,8 @@
     connection->exchange = 0;
     connection->since = MonotonicNow();
     connection->parser.Next();
-    if (!connection->ahead.empty()) {
-      // Not from here: the owner is in the middle of an answer.
+    if (!connection->unparsed.empty()) {
+      // Deferred, as the owner is still sending a response.
       asio::post(this->context, [this, id, connection, alive = this->alive] {
         if (*alive && this->connections.count(id) > 0) {
           this->Parse(id, connection);
@@ -328,7 +331,7 @@
   }
 
   void Sweep() {
-    this->sweep.expires_after(kSweep);
+    this->sweep.expires_after(kSweepInterval);
     this->sweep.async_wait([this, alive = this->alive](std::error_code error) {
       if (!error && *alive) {
         this->DropExpired();
@@ -383,8 +386,7 @@
   ConnectionId last_connection = 0;
   ExchangeId last_exchange = 0;
   bool leaving = false;
-  /// False once the server is gone, for completions that the loop still has to
-  /// run.
+  /// False after destruction, for completion handlers still queued on the loop.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
@@ -420,7 +422,8 @@
     head += "Transfer-Encoding: chunked\r\n";
   }
   head += "\r\n";
-  // The head leaves with the first bytes of the body: one write instead of two.
+  // The head is sent with the first bytes of the body: one write instead of
+  // two.
   connection->outgoing += head;
 }
 
@@ -436,7 +439,7 @@
   } else {
     connection->outgoing.append(bytes);
   }
-  this->impl->Pump(connection);
+  this->impl->StartWrite(connection);
 }
 
 void HttpServer::EndStream(ExchangeId exchange) {
@@ -449,12 +452,12 @@
 }
 
 void HttpServer::Abort(ExchangeId exchange) {
-  const auto place = this->impl->exchanges.find(exchange);
-  if (place == this->impl->exchanges.end()) {
+  const auto found = this->impl->exchanges.find(exchange);
+  if (found == this->impl->exchanges.end()) {
     return;
   }
-  const ConnectionId id = place->second;
-  this->impl->exchanges.erase(place);
+  const ConnectionId id = found->second;
+  this->impl->exchanges.erase(found);
   this->impl->Drop(id);
 }
 
--- a/src/http/internal/wire.h
+++ b/src/http/internal/wire.h
@@ -15,7 +15,7 @@
   return http_status_str(static_cast<http_status>(status));
 }
 
-/// Adds the fields as they stand on the wire.
+/// Appends the fields in wire format.
 inline void AppendFields(std::string& head, const Headers& headers) {
   for (const Header& field : headers.fields()) {
     head += field.name;
--- a/src/http/tests/http_tests.cpp
+++ b/src/http/tests/http_tests.cpp
@@ -16,7 +16,7 @@
 
 const Endpoint kAnyPort{"127.0.0.1", 0};
 
-/// Runs the loop until `done` or a second is over.
+/// Runs the loop until `done` returns true, or for at most three seconds.
 bool RunUntil(asio::io_context& context, const std::function<bool()>& done) {
   const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(3);
   while (!done() && std::chrono::steady_clock::now() < until) {
@@ -47,7 +47,7 @@
   int gone = 0;
 };
 
-/// A raw connection that sends bytes as told and collects what comes back.
+/// A client connection that sends raw bytes and collects the response.
 struct RawCaller {
   RawCaller(asio::io_context& context, std::uint16_t port) : socket(context) {
     this->socket.connect({asio::ip::make_address("127.0.0.1"), port});
@@ -73,7 +73,8 @@
   bool ended = false;
 };
 
-/// Accepts one connection after another and sends fixed bytes to each request.
+/// Accepts connections and answers each read with the next of a list of fixed
+/// responses.
 struct RawServer {
   RawServer(asio::io_context& context, std::vector<std::string> answers,
             bool close_after)
@@ -140,12 +141,12 @@
 
 }  // namespace
 
-TEST_CASE("the server takes requests however they are cut") {
+TEST_CASE("the server accepts requests regardless of how they are split") {
   const std::string request =
       "POST /a/b?x=1 HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello";
   asio::io_context context;
   EchoServer echo(context);
-  SECTION("split at each byte") {
+  SECTION("split in two at several positions") {
     for (std::size_t cut = 1; cut < request.size(); cut += 7) {
       RawCaller caller(context, echo.server->port());
       caller.Send(request.substr(0, cut));
@@ -165,7 +166,7 @@
                      [&] { return caller.received.ends_with("GET /2 "); }));
     CHECK(caller.received.find("GET /1 ") < caller.received.find("GET /2 "));
   }
-  SECTION("a chunked body is joined") {
+  SECTION("the chunks of a body are joined") {
     RawCaller caller(context, echo.server->port());
     caller.Send(
         "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -175,7 +176,7 @@
   }
 }
 
-TEST_CASE("what cannot be read is refused and never handed on") {
+TEST_CASE("malformed requests are refused and never reach the handler") {
   asio::io_context context;
   HttpServerLimits limits;
   limits.max_header_bytes = 200;
@@ -183,7 +184,7 @@
   EchoServer echo(context, limits);
   RawCaller caller(context, echo.server->port());
   std::string expected;
-  SECTION("no HTTP") {
+  SECTION("not HTTP") {
     caller.Send("nonsense\r\n\r\n");
     expected = "HTTP/1.1 400";
   }
@@ -200,7 +201,8 @@
   CHECK(echo.requests == 0);
 }
 
-TEST_CASE("a caller that leaves is noticed while its answer is under way") {
+TEST_CASE(
+    "a client that disconnects is noticed before its response is complete") {
   asio::io_context context;
   int gone = 0;
   ExchangeId open = 0;
@@ -213,7 +215,7 @@
   auto caller = std::make_unique<RawCaller>(context, server.port());
   caller->Send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(RunUntil(context, [&] { return open != 0; }));
-  SECTION("before its head") {
+  SECTION("before the head of the response") {
     caller->socket.close();
     CHECK(RunUntil(context, [&] { return gone == 1; }));
   }
@@ -230,7 +232,7 @@
   }
 }
 
-TEST_CASE("the client tells how a call ended") {
+TEST_CASE("the client reports how a call ended") {
   asio::io_context context;
   HttpClient client(context);
   CallRecord record;
@@ -242,23 +244,23 @@
     client.Call(out, record.Handlers());
     REQUIRE(RunUntil(context, [&] { return record.ended; }));
   };
-  SECTION("whole, with a length") {
+  SECTION("complete, with a Content-Length") {
     RawServer server(context,
                      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"}, false);
     call(server.address());
     CHECK(record.end == HttpEnd::kComplete);
     CHECK(record.body == "ok");
-    SECTION("the connection is kept and used again") {
+    SECTION("the connection is reused") {
       record = {};
       call(server.address());
       CHECK(record.body == "ok");
       CHECK(server.connections == 1);
     }
-    // Symptom: a request that cannot be repeated fails although its peer is
-    // well. Sequence: the peer loses power and starts again at its address; the
-    // request goes out on a connection kept from before and is reset. Cause:
-    // the peer is known to have started again, its connections are kept.
-    SECTION("but not when the peer is known to have started again") {
+    // A request that cannot be repeated fails although its peer is available.
+    // The peer loses power and restarts at the same address; the request is
+    // sent on a connection from before, kept although the restart is known, and
+    // is reset.
+    SECTION("the connection is not reused after a known restart of the peer") {
       client.CloseIdle({"127.0.0.1", 1});
       client.CloseIdle(server.address());
       record = {};
@@ -267,19 +269,19 @@
       CHECK(server.connections == 2);
     }
   }
-  SECTION("whole, when an answer without length ends with its connection") {
+  SECTION("complete, when a response without length ends with its connection") {
     RawServer server(context, {"HTTP/1.1 200 OK\r\n\r\nall of it"}, true);
     call(server.address());
     CHECK(record.end == HttpEnd::kComplete);
     CHECK(record.body == "all of it");
   }
-  SECTION("broken, when the body is cut") {
+  SECTION("broken, when the body is truncated") {
     RawServer server(context,
                      {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"}, true);
     call(server.address());
     CHECK(record.end == HttpEnd::kBroken);
   }
-  SECTION("broken, when chunks lack their end") {
+  SECTION("broken, when the last chunk is missing") {
     RawServer server(
         context,
         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"},
@@ -287,12 +289,12 @@
     call(server.address());
     CHECK(record.end == HttpEnd::kBroken);
   }
-  SECTION("malformed, when it is no answer") {
+  SECTION("malformed, when the response is not HTTP") {
     RawServer server(context, {"\x01\x02 rubbish\r\n\r\n"}, false);
     call(server.address());
     CHECK(record.end == HttpEnd::kMalformed);
   }
-  SECTION("not sent, when nobody listens") {
+  SECTION("not sent, when no listener exists") {
     Endpoint nobody;
     {
       RawServer server(context, {""}, true);
@@ -301,10 +303,11 @@
     call(nobody);
     CHECK(record.end == HttpEnd::kNotSent);
   }
-  // Symptom: a caller gets another caller's answer. Sequence: a faulty engine
-  // answers a request twice on a kept connection; the second copy stands where
-  // the next request's answer is expected. Cause: answers matched by order.
-  SECTION("an answer to another request is skipped") {
+  // A caller gets the response to another call. A faulty engine answers a
+  // request twice on a pooled connection, and the second response arrives where
+  // that of the next request is expected, if responses are matched by order
+  // only.
+  SECTION("a response to another request is skipped") {
     RawServer server(
         context,
         {"HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 5\r\n\r\nwrong"
@@ -316,7 +319,7 @@
   }
 }
 
-TEST_CASE("events are given out whole and in order") {
+TEST_CASE("events are returned complete and in order") {
   const std::string stream =
       "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\ndata: c\r\n\r\nid: 3\ndata: d";
   for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
@@ -332,7 +335,7 @@
       }
     }
     REQUIRE(data == std::vector<std::string>{"a", "b\nc"});
-    CHECK(splitter.HoldsPart());
+    CHECK(splitter.HasPartialEvent());
   }
 }
 
--- a/src/nodes/internal/batchrunner.cpp
+++ b/src/nodes/internal/batchrunner.cpp
@@ -440,7 +440,7 @@
   Run& run = found->second;
   run.call = 0;
   const bool whole = end == http::HttpEnd::kComplete && run.status == 200 &&
-                     !run.splitter.HoldsPart() && run.any_event;
+                     !run.splitter.HasPartialEvent() && run.any_event;
   if (whole) {
     this->Finish(id, run, batches::ItemEnd::kComplete);
   } else if (run.status == kItemImpossible) {
--- a/src/nodes/internal/onlinerelay.cpp
+++ b/src/nodes/internal/onlinerelay.cpp
@@ -417,7 +417,7 @@
     }
     return;
   }
-  if (call.is_events && call.splitter.HoldsPart()) {
+  if (call.is_events && call.splitter.HasPartialEvent()) {
     this->OnBroken(id, "the stream ended inside an event");
     return;
   }
