--- a/src/introspection/httplisten.h
+++ b/src/introspection/httplisten.h
@@ -10,8 +10,8 @@
 namespace papayarack::introspection {
 
 /// Binds `server` to `listen` with a long backlog; call listen_after_bind next.
-/// Throws ResultError(kBadInput) naming `field` when the address is taken.
-/// Precondition: the server was not bound. Thread safety: one owner.
+/// Throws ResultError(kBadInput) naming `field` when the address cannot be
+/// bound. Precondition: the server is not bound. Thread safety: one owner.
 void BindHttp(httplib::Server& server, const Endpoint& listen,
               std::string_view field);
 
--- a/src/introspection/internal/httplisten.cpp
+++ b/src/introspection/internal/httplisten.cpp
@@ -11,10 +11,9 @@
 constexpr int kBacklog = 1024;
 }  // namespace
 
-/// Symptom guarded against: now and then a request begins a second late. The
-/// library listens with a backlog of five; the sixth connection of a burst is
-/// dropped by the kernel and comes again after its first retransmission, one
-/// second later. Listening again on the same socket widens the backlog.
+/// httplib listens with a backlog of five; the kernel drops the SYN of the
+/// sixth connection of a burst, which is retransmitted only one second later.
+/// Listening again on the same socket enlarges the backlog.
 void BindHttp(httplib::Server& server, const Endpoint& listen,
               std::string_view field) {
   socket_t bound = INVALID_SOCKET;
--- a/src/introspection/statusserver.h
+++ b/src/introspection/statusserver.h
@@ -10,15 +10,15 @@
 
 namespace papayarack::introspection {
 
-/// What a role shows of itself; all are called on HTTP threads.
+/// Sources of a role's status; all are called on HTTP threads.
 struct StatusSources {
   std::function<nlohmann::json()> dump;
-  std::function<bool()> healthy;  ///< False when leaving or not ready.
+  std::function<bool()> healthy;  ///< False when shutting down or not ready.
   std::function<std::string()> metrics;
 };
 
-/// A role's own small HTTP listener: GET /v1/dump, /healthz and /metrics.
-/// Thread safety: construct and destroy on one thread.
+/// A role's HTTP server for status: GET /v1/dump, /healthz and /metrics. Thread
+/// safety: construct and destroy on one thread.
 class StatusServer {
  public:
   /// Throws ResultError(kBadInput) when the address cannot be bound.
