--- a/src/consensus/internal/raftcore.cpp
+++ b/src/consensus/internal/raftcore.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "global/linkpace.h"
+#include "global/transfertime.h"
 #include "global/variantcodec.h"
 
 namespace papayarack::consensus {
@@ -564,7 +564,7 @@
 void RaftCore::ResendOnTimeout(Progress& peer) {
   const bool outstanding = peer.match + 1 < peer.next;
   const Duration first_wait =
-      2 * this->options.heartbeat + TimeToCarry(peer.inflight_bytes);
+      2 * this->options.heartbeat + TransferTime(peer.inflight_bytes);
   const Duration wait = std::clamp<Duration>(first_wait, peer.resend_delay,
                                              this->options.max_resend_delay);
   if (!outstanding || this->now - peer.last_progress < wait) {
--- a/src/consensus/tests/raftcore_tests.cpp
+++ b/src/consensus/tests/raftcore_tests.cpp
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "consensus/tests/raftcluster.h"
-#include "global/linkpace.h"
+#include "global/transfertime.h"
 
 namespace papayarack::consensus {
 namespace {
@@ -480,7 +480,7 @@
 
   SECTION("and it is sent again if it was lost too") {
     const Time again = late + 2 * options.heartbeat +
-                       TimeToCarry(sent.front().entries.size() * kEntryBytes);
+                       TransferTime(sent.front().entries.size() * kEntryBytes);
     std::size_t entries_sent = 0;
     Time now = late;
     while (now + options.heartbeat < again) {
--- a/src/coordination/acknowledgementqueue.h
+++ b/src/coordination/acknowledgementqueue.h
@@ -21,10 +21,10 @@
 /// Does no I/O. Thread safety: none.
 class AcknowledgementQueue {
  public:
-  /// Longest delay of an acknowledgement; TimeToCarry of the text is added. Six
-  /// times what a small change takes to reach all entries (50 ms). Operators
-  /// try another process after 1 s; an entry's attempt takes 450 ms, of which
-  /// the log needs 30 to 100 ms.
+  /// Longest delay of an acknowledgement; TransferTime of the text is added.
+  /// Six times what a small change takes to reach all entries (50 ms).
+  /// Operators try another process after 1 s; an entry's attempt takes 450 ms,
+  /// of which the log needs 30 to 100 ms.
   static constexpr std::chrono::milliseconds kMaxDelay{300};
   /// Entries silent for longer than this are not waited for. Entries report at
   /// least once a second; one that is gone would delay every acknowledgement.
--- a/src/coordination/tests/acknowledgementqueue_tests.cpp
+++ b/src/coordination/tests/acknowledgementqueue_tests.cpp
@@ -2,7 +2,7 @@
 #include <vector>
 
 #include "coordination/acknowledgementqueue.h"
-#include "global/linkpace.h"
+#include "global/transfertime.h"
 
 namespace papayarack::coordination {
 namespace {
@@ -86,7 +86,7 @@
     constexpr std::size_t kLargeBytes = 900'000;
     queue.Add(kFirst, 6, kLargeBytes, now);
     const Time bound =
-        now + AcknowledgementQueue::kMaxDelay + TimeToCarry(kLargeBytes);
+        now + AcknowledgementQueue::kMaxDelay + TransferTime(kLargeBytes);
     for (Time at = now; at < bound; at += milliseconds(100)) {
       queue.OnReport("a", 4, at);
       queue.OnReport("b", 6, at);
--- a/src/coordination/tests/stalledsources_tests.cpp
+++ b/src/coordination/tests/stalledsources_tests.cpp
@@ -10,7 +10,7 @@
 
 #include "coordination/acknowledgementqueue.h"
 #include "coordination/transferplan.h"
-#include "global/linkpace.h"
+#include "global/transfertime.h"
 
 namespace papayarack::coordination {
 namespace {
@@ -25,7 +25,7 @@
 /// The latest time of the acknowledgement, which waits no longer than its
 /// bound.
 constexpr milliseconds kAcknowledged =
-    AcknowledgementQueue::kMaxDelay + TimeToCarry(kTextBytes);
+    AcknowledgementQueue::kMaxDelay + TransferTime(kTextBytes);
 constexpr milliseconds kStep{20};
 /// As in TextFetch: timeouts of the first part and of each further one.
 constexpr milliseconds kFirstSilence{500};
--- a/src/nodes/batchrunner.h
+++ b/src/nodes/batchrunner.h
@@ -41,14 +41,15 @@
   static constexpr std::size_t kMaxReportBytes = 32U << 10U;
   /// A pull that the leader answered at once has been answered within this
   /// time: ten round trips between regions of one continent (20 ms each), or
-  /// 200 KB at the rate of TimeToCarry. Doubled by each pull that was cancelled
-  /// without an answer, so that an answer of any size arrives eventually.
+  /// 200 KB at the rate of TransferTime. Doubled by each pull that was
+  /// cancelled without an answer, so that an answer of any size arrives
+  /// eventually.
   static constexpr std::chrono::milliseconds kAnswerTime{200};
   /// Upper bound of the answer time: the leader delays a pull by 1 s at most,
   /// which leaves 0.6 s for its answer, as in one attempt.
   static constexpr std::chrono::milliseconds kMaxAnswerTime{1600};
   /// Maximum bytes of texts that one pull returns, unless a single one has
-  /// more: a quarter of a second on a link at the rate of TimeToCarry, within
+  /// more: a quarter of a second on a link at the rate of TransferTime, within
   /// one attempt.
   static constexpr std::size_t kMaxReturnBytes = 256U << 10U;
   /// Backoff after the first failed report, doubled by each further failure.
--- a/src/nodes/internal/operatorapi.cpp
+++ b/src/nodes/internal/operatorapi.cpp
@@ -3,8 +3,8 @@
 #include <chrono>
 #include <utility>
 
-#include "global/linkpace.h"
 #include "global/logging.h"
+#include "global/transfertime.h"
 #include "global/variantcodec.h"
 #include "nodes/plainresponses.h"
 
@@ -43,7 +43,7 @@
   // timeout of a small one a single attempt would use up the call. The text is
   // transferred twice before the answer: to the leader and to the processes
   // that apply it.
-  const std::chrono::milliseconds carry = TimeToCarry(body.size());
+  const std::chrono::milliseconds carry = TransferTime(body.size());
   this->runtime.coordination->Call(
       path, std::move(body), kOperatorTime + 2 * carry,
       kOperatorAttemptTime + carry,
--- a/src/nodes/noderuntime.h
+++ b/src/nodes/noderuntime.h
@@ -22,7 +22,7 @@
 #include "nodes/ownedengine.h"
 #include "routes/routetable.h"
 #include "storage/filesystem.h"
-#include "transport/backlogwatch.h"
+#include "transport/backlogmonitor.h"
 #include "transport/peerclient.h"
 #include "transport/peerdispatch.h"
 #include "transport/peerserver.h"
@@ -94,7 +94,7 @@
   /// For searches, which read fewer pages than other reads.
   ListReaderState search_reader;
   std::unique_ptr<asio::steady_timer> backlog_timer;
-  transport::BacklogWatch backlog;
+  transport::BacklogMonitor backlog;
   LoopDelayMonitor loop_delay_monitor{this->context, this->metrics};
 };
 
