--- a/tools/bench.py
+++ b/tools/bench.py
@@ -1,4 +1,4 @@
-"""Measurements with real processes on loopback; each prints a table and writes docs/plots/NAME.svg."""
+"""Benchmarks with real processes on loopback; each prints a table. policy writes docs/plots/policy-PROFILE.svg."""
 import argparse
 import json
 import pathlib
@@ -12,7 +12,7 @@
 import svgplot
 
 PROFILES = {
-    # users' sizes of today; knee and base are the stand-in's, rate is online requests a second
+    # the users' current sizes; knee and base belong to the stand-in; rate is online requests per second
     "kivu": {"zones": ["kigali-1", "kigali-2", "kigali-3"], "sides": 12, "rate": 60, "tokens": 24,
              "batch_tokens": 40, "batch_words": 40, "model": "counter-lm", "service": "counter"},
     "lonestar": {"zones": ["austin-1", "austin-2", "waco", "temple"], "sides": 18, "rate": 60,
@@ -24,7 +24,7 @@
 
 
 class Bench:
-    """A fleet of one profile: a control member, an entry, sides before engines."""
+    """A fleet of one profile: a control member, an entry, and a side for each engine."""
 
     def __init__(self, folder, profile, document):
         self.fleet = fl.Fleet(folder)
@@ -88,7 +88,7 @@
 
 
 def saturate(bench, profile):
-    """Enough batch items that no gate runs out of them."""
+    """Submits enough batch items to keep every gate busy for the whole run."""
     for lot in range(4):
         fl.submit_job(bench.entry, "bench", f"lot-{lot}", profile["service"],
                       fl.items(profile["model"], 6000, tokens=profile["batch_tokens"],
@@ -96,7 +96,7 @@
 
 
 def run_variant(name, profile, seed, seconds, warm):
-    """One run; online figures and the tokens a second that batch got."""
+    """Runs one variant; returns online latencies and batch tokens per second."""
     changes = {"learn_limit": False, "max_concurrent": 24} if name == "static limit" else {}
     with tempfile.TemporaryDirectory(prefix="papayarack-bench-") as folder:
         with Bench(folder, profile, document_for(profile, **changes)) as bench:
@@ -115,7 +115,7 @@
             before, began = bench.tokens(), time.monotonic()
             online = fl.load_result(fl.load(target, profile["model"], profile["rate"], seconds,
                                             seed, profile["tokens"]))
-            took, produced = time.monotonic() - began, bench.tokens() - before
+            elapsed, produced = time.monotonic() - began, bench.tokens() - before
             if batch:
                 fl.load_result(batch)
             online_tokens = online["between_tokens_ms"]["count"] + online["whole"]
@@ -123,8 +123,8 @@
                     "first_p50": online["first_token_ms"]["p50"],
                     "between_p95": online["between_tokens_ms"]["p95"],
                     "lost": online["requests"] - online["whole"],
-                    "batch_rate": max(0.0, (produced - online_tokens) / took),
-                    "online_rate": online_tokens / took}
+                    "batch_rate": max(0.0, (produced - online_tokens) / elapsed),
+                    "online_rate": online_tokens / elapsed}
 
 
 def policy(arguments):
@@ -160,7 +160,7 @@
 
 
 def path(arguments):
-    """What entry and gate add to a direct call, in turn within one run."""
+    """Measures the latency that entry and gate add, alternating with direct calls in one run."""
     profile = {**PROFILES["kivu"], "sides": 2}
     with tempfile.TemporaryDirectory(prefix="papayarack-bench-") as folder:
         with Bench(folder, profile, document_for(profile)) as bench:
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,4 +1,4 @@
-"""Measures slopes with papayarack_corebench and writes the tables of docs/CAPACITY.md."""
+"""Measures cost slopes with papayarack_corebench and writes the tables of docs/CAPACITY.md."""
 import json
 import pathlib
 import subprocess
@@ -7,10 +7,10 @@
 import fleetlib as fl
 
 PAGE = fl.ROOT / "docs/CAPACITY.md"
-# Written by hand from the users' sweep, and kept: this program cannot measure it.
+# Written by hand from the users' parameter sweep, which this program cannot measure; kept as is.
 SWEEP_HEADING = "## Slopes that the users' sweep shows"
 
-# The size of letter 1.
+# The fleet size to plan for.
 ENTRIES, REPLICAS = 360, 4900
 REQUESTS, TOKENS = 14_000, 4_900_000
 ITEMS_DAY, JOBS_DAY, ITEMS_JOB = 310e6, 19_000, 63_000
@@ -18,20 +18,20 @@
 CONTROL_VMS, CORE_SHARE, MEMORY_MB, NET_KB = 10, 0.014, 64, 17
 DAY = 86_400
 PROCESSES = ENTRIES + REPLICAS
-HEARTBEAT_S = 3        # at this size; today 0.5
+HEARTBEAT_S = 3        # at this size; the default is 0.5
 RESULT_BYTES = 1000
-PULL_ITEMS = 16        # items that one pull reports and takes
+PULL_ITEMS = 16        # items reported and leased per pull
 
 
 def slope(rows, x, y):
-    """Least squares; returns the slope and the largest relative distance from the line."""
+    """Least-squares fit; returns the slope and the largest relative deviation from the line."""
     n = len(rows)
     mx, my = sum(r[x] for r in rows) / n, sum(r[y] for r in rows) / n
     sxx = sum((r[x] - mx) ** 2 for r in rows)
     b = sum((r[x] - mx) * (r[y] - my) for r in rows) / sxx
     a = my - b * mx
-    bend = max(abs(r[y] - (a + b * r[x])) / max(r[y], 1e-9) for r in rows)
-    return b, bend
+    deviation = max(abs(r[y] - (a + b * r[x])) / max(r[y], 1e-9) for r in rows)
+    return b, deviation
 
 
 def verdict(holds):
@@ -44,7 +44,7 @@
     router, gate, items = measured["router"], measured["gate"], measured["items"]
     documents, beats, sync = measured["documents"], measured["heartbeats"], measured["sync"]
     beat, item, document = beats[-1], items[-1], documents[-1]
-    route_slope, route_bend = slope(router, "candidates", "ns")
+    route_slope, route_deviation = slope(router, "candidates", "ns")
 
     items_s = ITEMS_DAY / DAY
     beats_s = PROCESSES / HEARTBEAT_S
@@ -53,7 +53,7 @@
                    CHANGES_DAY / DAY * document["apply_ns"]) / 1e9
     log_mb_s = items_s * (item["log_bytes_per_item"] + item["input_log_bytes_per_item"]) / 1e6
     item_mb = ITEMS_JOB * 26 / 1e6
-    open_jobs = JOBS_DAY / 24 * 8          # if a job is open for eight hours
+    open_jobs = JOBS_DAY / 24 * 8          # assuming that a job stays open for eight hours
     job_state_mb = open_jobs * (ITEMS_DAY / JOBS_DAY) * 26 / 1e6
     fleet_mb = PROCESSES * beat["heap_per_member"] / 1e6
     sync_16 = next(r for r in sync if r["entries"] == 16)["sync_us"]
@@ -115,7 +115,7 @@
              f"it to {job_state_mb / 10 * 3:.0f} MB each at three copies; item tables in the blob "
              "store would carry it |",
              f"| choosing among {REPLICAS} | each choice looks at every gate: "
-             f"{route_slope:.0f} ns a candidate, off the line by at most {route_bend * 100:.0f}% | "
+             f"{route_slope:.0f} ns a candidate, off the line by at most {route_deviation * 100:.0f}% | "
              "**fails**: a deterministic subset for each entry is not built |",
              "| results | blob store on disk, freed by retention; not in memory | built |",
              "| regions apart for an hour | one group spans the regions; those without a majority "
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,4 +1,4 @@
-"""The main job, twice: in one process, then as separate processes with a leader killed."""
+"""Runs online and batch work in one process, then in separate processes with the leader killed."""
 import json
 import pathlib
 import sys
@@ -8,13 +8,13 @@
 import fleetlib as fl
 
 ITEMS = 500
-IMPOSSIBLE = (7, 100, 333)
+FAILING_ITEMS = (7, 100, 333)
 failures = []
 
 
-def check(what, holds):
-    print(f"  [{'ok' if holds else 'FAILED'}] {what}")
-    if not holds:
+def check(what, passed):
+    print(f"  [{'ok' if passed else 'FAILED'}] {what}")
+    if not passed:
         failures.append(what)
 
 
@@ -24,7 +24,7 @@
     for _ in range(10):
         status, answer = fl.request(entry, "POST", "/v1/chat/completions", json.dumps(body))
         text = answer.decode()
-        # Right after the start an entry may not have heard of the gates: refused, not run.
+        # Right after its start an entry may not know the gates yet and refuses without running.
         if status != 503 or not json.loads(text)["error"]["not_run"]:
             break
         time.sleep(0.5)
@@ -33,11 +33,11 @@
         for line in text.splitlines() if line.startswith("data: {")))
     if status != 200:
         print("  answer:", status, text)
-    check("an online answer streams and is whole", status == 200 and "[DONE]" in text)
+    check("an online response is streamed completely", status == 200 and "[DONE]" in text)
 
 
-def wait_job(entry, team, job_id, patience=90):
-    until = time.monotonic() + patience
+def wait_job(entry, team, job_id, timeout=90):
+    until = time.monotonic() + timeout
     while time.monotonic() < until:
         state = fl.job_state(entry, team, job_id)
         if state["status"] != "in_progress":
@@ -52,20 +52,20 @@
     print(f"  job {job['id']}: {counts}, {state['attempts']} attempts")
     done = fl.result_ids(entry, team, state["output_file_id"])
     failed = fl.result_ids(entry, team, state["error_file_id"])
-    check(f"{ITEMS - len(IMPOSSIBLE)} items are done, {len(IMPOSSIBLE)} failed with reasons",
-          len(done) == ITEMS - len(IMPOSSIBLE) and
-          sorted(failed) == sorted(f"item-{i}" for i in IMPOSSIBLE))
-    check("none is there twice", len(set(done + failed)) == ITEMS)
+    check(f"{ITEMS - len(FAILING_ITEMS)} items are done, {len(FAILING_ITEMS)} failed with reasons",
+          len(done) == ITEMS - len(FAILING_ITEMS) and
+          sorted(failed) == sorted(f"item-{i}" for i in FAILING_ITEMS))
+    check("no item is duplicated", len(set(done + failed)) == ITEMS)
 
 
-def show_latency(without, beside):
+def show_latency(without_batch, with_batch):
     for name in ("first_token_ms", "between_tokens_ms"):
-        print(f"  online {name:18} without batch p50 {without[name]['p50']:6.1f} "
-              f"p99 {without[name]['p99']:6.1f} | beside batch p50 {beside[name]['p50']:6.1f} "
-              f"p99 {beside[name]['p99']:6.1f}")
-    print(f"  statuses {without['statuses']}, {beside['statuses']}")
-    check("every online request was answered whole, with and without batch",
-          without["whole"] == without["requests"] and beside["whole"] == beside["requests"])
+        print(f"  online {name:18} without batch p50 {without_batch[name]['p50']:6.1f} "
+              f"p99 {without_batch[name]['p99']:6.1f} | with batch p50 {with_batch[name]['p50']:6.1f} "
+              f"p99 {with_batch[name]['p99']:6.1f}")
+    print(f"  statuses {without_batch['statuses']}, {with_batch['statuses']}")
+    check("every online request completed, with and without batch",
+          without_batch["whole"] == without_batch["requests"] and with_batch["whole"] == with_batch["requests"])
 
 
 def solo(folder):
@@ -89,31 +89,31 @@
             fl.request(entry, "POST", "/services/posting/cheques", '{"key":"17"}',
                        {"Idempotency-Key": "post-17"})
         counts = fl.request_json("127.0.0.1:9004", "GET", "/counts")[1]
-        check("a posting sent twice under one key ran once", list(counts["by_key"].values()) == [1])
-        without = fl.load_result(fl.load(entry, "cheque-reader", 12, 5))
-        content = fl.items("cheque-reader", ITEMS, IMPOSSIBLE, tokens=20)
+        check("a request sent twice with one idempotency key ran once", list(counts["by_key"].values()) == [1])
+        without_batch = fl.load_result(fl.load(entry, "cheque-reader", 12, 5))
+        content = fl.items("cheque-reader", ITEMS, FAILING_ITEMS, tokens=20)
         job = fl.submit_job(entry, "lonestar", "lot-1", "cheque", content)
-        beside = fl.load(entry, "cheque-reader", 12, 5)
+        with_batch = fl.load(entry, "cheque-reader", 12, 5)
         time.sleep(1)
         again = fl.submit_job(entry, "lonestar", "lot-1", "cheque", content)
-        check("the whole job sent again is the same job", again["id"] == job["id"])
-        show_latency(without, fl.load_result(beside))
+        check("submitting a job again returns the same job", again["id"] == job["id"])
+        show_latency(without_batch, fl.load_result(with_batch))
         second = fl.submit_job(entry, "lonestar", "lot-2", "cheque",
                                content.replace("image", "scanned image"))
         time.sleep(1)
         fleet.kill("engine-2")
-        print("  engine-2 was killed in mid-run and is started again")
+        print("  engine-2 was killed during the run and restarts")
         time.sleep(1)
         fleet.engine("engine-2", "127.0.0.1:9002", "--base-ms", "10")
         check_job(entry, "lonestar", job)
         check_job(entry, "lonestar", second)
-        check("a graceful stop ends by itself", fleet.stop("solo") == 0)
+        check("a graceful stop completes", fleet.stop("solo") == 0)
     finally:
         fleet.stop_all()
 
 
 def separate(folder):
-    print("Separate processes: 3 control members, 3 entries, 12 sides before 12 engines")
+    print("Separate processes: 3 control members, 3 entries, 12 sides for 12 engines")
     fleet = fl.Fleet(folder)
     settings = fl.ROOT / "examples/kivu/settings"
     try:
@@ -137,22 +137,22 @@
                               fl.ROOT / "examples/kivu/counter.json").splitlines()[-1])
         stream_one(entry, "counter-lm")
         job = fl.submit_job(entry, "kivu", "night-1", "counter",
-                            fl.items("counter-lm", ITEMS, IMPOSSIBLE, tokens=40))
+                            fl.items("counter-lm", ITEMS, FAILING_ITEMS, tokens=40))
         online = fl.load(f"{entry},{other}", "counter-lm", 20, 6)
         time.sleep(1)
         status = fl.request_json(entry, "GET", "/v1/status")[1]
         leader = 1 + [7200, 7201, 7202].index(int(status["control_leader"].rsplit(":")[-1]))
         fleet.kill(f"control-{leader}")
         fleet.kill("engine-3")
-        print(f"  control-{leader}, which led, and engine-3 were killed in mid-run")
+        print(f"  control-{leader} (the leader) and engine-3 were killed during the run")
         time.sleep(2)
         fleet.role("control", f"control-{leader}", folder / f"control-{leader}.json")
         fleet.engine("engine-3", "127.0.0.1:7262")
         answers = fl.load_result(online)
-        print(f"  online beside it: {answers['whole']} of {answers['requests']} whole, first token "
+        print(f"  concurrent online requests: {answers['whole']} of {answers['requests']} complete, first token "
               f"p99 {answers['first_token_ms']['p99']:.0f} ms")
         lost = answers["requests"] - answers["whole"]
-        check("online requests were lost only with the engine that died (at most 12)", lost <= 12)
+        check("online requests were lost only with the killed engine (at most 12)", lost <= 12)
         check_job(other, "kivu", job)
         replace_under_load(fleet, settings, folder, entry)
         stop_entry_under_load(fleet)
@@ -161,7 +161,7 @@
 
 
 def replace_under_load(fleet, settings, folder, entry):
-    """Three sides and two control members are replaced one by one while callers ask."""
+    """Replaces three sides and two control members one by one under online load."""
     online = fl.load(entry, "counter-lm", 30, 9, tokens=20)
     time.sleep(0.5)
     ended = []
@@ -175,19 +175,19 @@
         time.sleep(1.5)
     answers = fl.load_result(online)
     print(f"  3 sides and 2 control members replaced under load: {answers['whole']} of "
-          f"{answers['requests']} answers whole, {answers['statuses']}")
-    check("a graceful replacement cuts no request",
+          f"{answers['requests']} responses complete, {answers['statuses']}")
+    check("a graceful replacement interrupts no request",
           answers["whole"] == answers["requests"] and not any(ended))
 
 
 def stop_entry_under_load(fleet):
-    """An entry is asked to stop while it streams long answers; it finishes them."""
+    """Stops an entry while it streams long responses, which it must finish."""
     online = fl.load("127.0.0.1:7212", "counter-lm", 30, 1, tokens=100, burst=1)
     time.sleep(1.3)
     code = fleet.stop("entry-3")
     answers = fl.load_result(online)
-    print(f"  an entry stopped while streaming: {answers['whole']} of {answers['requests']} whole")
-    check("an entry that stops finishes what it streams",
+    print(f"  an entry stopped while streaming: {answers['whole']} of {answers['requests']} complete")
+    check("a stopping entry finishes its streams",
           code == 0 and answers["whole"] == answers["requests"] > 0)
 
 
@@ -197,7 +197,7 @@
             place = pathlib.Path(folder) / name
             place.mkdir()
             part(place)
-    print("All checks held." if not failures else f"{len(failures)} checks FAILED: {failures}")
+    print("All checks passed." if not failures else f"{len(failures)} checks FAILED: {failures}")
     return 1 if failures else 0
 
 
--- a/tools/fleetlib.py
+++ b/tools/fleetlib.py
@@ -1,4 +1,4 @@
-"""Starts and stops the processes of a demo or bench run; every process is ended by its own id."""
+"""Starts and stops the processes of a demo or benchmark run, each by its own process id."""
 import http.client
 import json
 import pathlib
@@ -15,7 +15,7 @@
 
 
 class Fleet:
-    """The processes that a run has started, by name."""
+    """The processes started by a run, by name."""
 
     def __init__(self, folder):
         self.folder = pathlib.Path(folder)
@@ -34,16 +34,16 @@
         self.start(name, [ENGINE, "--listen", address, *options])
 
     def kill(self, name):
-        """Ends a process without warning."""
+        """Kills a process with SIGKILL."""
         process = self.processes.pop(name)
         process.kill()
         process.wait()
 
-    def stop(self, name, patience=40):
-        """Asks a process to stop; returns its exit code."""
+    def stop(self, name, timeout_s=40):
+        """Stops a process with SIGTERM; returns its exit code."""
         process = self.processes.pop(name)
         process.send_signal(signal.SIGTERM)
-        return process.wait(timeout=patience)
+        return process.wait(timeout=timeout_s)
 
     def stop_all(self):
         for process in self.processes.values():
@@ -54,7 +54,7 @@
 
 
 def request(address, method, path, body=None, headers=None, timeout=60):
-    """One HTTP request; returns status and body bytes."""
+    """Sends an HTTP request; returns status and body bytes."""
     host, port = address.rsplit(":", 1)
     connection = http.client.HTTPConnection(host, int(port), timeout=timeout)
     try:
@@ -71,8 +71,8 @@
     return status, json.loads(answer)
 
 
-def wait_healthy(address, patience=20):
-    until = time.monotonic() + patience
+def wait_healthy(address, timeout_s=20):
+    until = time.monotonic() + timeout_s
     while time.monotonic() < until:
         try:
             if request(address, "GET", "/healthz", timeout=2)[0] == 200:
@@ -92,7 +92,7 @@
 
 
 def load(targets, model, rate, seconds, seed=1, tokens=16, burst=3):
-    """Starts the load generator; finish with load_result."""
+    """Starts the load generator; load_result waits for it and returns the report."""
     return subprocess.Popen(
         [str(LOAD), "--target", targets, "--model", model, "--rate", str(rate), "--seconds",
          str(seconds), "--seed", str(seed), "--tokens", str(tokens), "--burst", str(burst)],
@@ -104,10 +104,10 @@
     return json.loads(output)
 
 
-def items(model, count, impossible=(), tokens=10, words=0):
+def items(model, count, failing=(), tokens=10, words=0):
     lines = []
     for i in range(count):
-        kind = "unreadable image" if i in impossible else "image"
+        kind = "unreadable image" if i in failing else "image"
         content = f"{kind} {i}" + " x" * words
         lines.append(json.dumps({
             "custom_id": f"item-{i}", "method": "POST", "url": "/v1/chat/completions",
--- a/tools/make_examples.py
+++ b/tools/make_examples.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Writes the full settings of both users' fleets to examples/. Run it after changing a number here."""
+"""Generates the settings of both example fleets in examples/. Run it after changing a value here."""
 import json
 import pathlib
 
--- a/tools/prove.py
+++ b/tools/prove.py
@@ -1,4 +1,4 @@
-"""Plants one bug for each promise in a scratch copy and shows that the tests find it."""
+"""Mutation test: injects one bug per guarantee into a scratch copy and checks that the tests find it."""
 import pathlib
 import re
 import shutil
@@ -8,7 +8,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 
-# promise, file, what stands there, what the bug makes of it, test program
+# injected bug, file, original text, replacement, test program
 BUGS = [
     ("acknowledge before the sync", "src/consensus/internal/raftcore.cpp",
      "after_sync ? this->ready.after_sync : this->ready.before_sync",
@@ -68,11 +68,11 @@
         shutil.copytree(ROOT, tree, ignore=shutil.ignore_patterns("build*", ".git"))
         run(["cmake", "-G", "Ninja", "-B", "build", "-DCMAKE_BUILD_TYPE=RelWithDebInfo"], tree, 300)
         print("| planted bug | found by | test program |\n| --- | --- | --- |", flush=True)
-        for promise, name, old, new, module in BUGS:
+        for bug, name, old, new, module in BUGS:
             path = tree / name
             text = path.read_text()
             if text.count(old) != 1:
-                print(f"| {promise} | NOT PLANTED: {text.count(old)} places | {module} |")
+                print(f"| {bug} | NOT PLANTED: {text.count(old)} places | {module} |")
                 missed += 1
                 continue
             path.write_text(text.replace(old, new))
@@ -86,7 +86,7 @@
                 except subprocess.TimeoutExpired:
                     found = "test that does not end (bound 120 s)"
             missed += found.startswith("NOT")
-            print(f"| {promise} | {found} | {module} |", flush=True)
+            print(f"| {bug} | {found} | {module} |", flush=True)
             path.write_text(text)
     return 1 if missed else 0
 
--- a/tools/references.py
+++ b/tools/references.py
@@ -1,7 +1,7 @@
-"""Holds the log reference of docs/OPERATIONS.md equal to the code.
+"""Checks that the log reference of docs/OPERATIONS.md matches the code.
 
-Each event that src/ or platform/ logs stands in the page's tables of events,
-and each event of those tables stands in the code.
+Each event that src/ or platform/ logs must be listed in the page's event
+tables, and each listed event must occur in the code.
 """
 
 import pathlib
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -1,16 +1,16 @@
-"""A randomized soak: the real programs as separate processes on loopback.
+"""Randomized soak test: the production programs as separate processes on loopback.
 
-Starts entries, stores and gates against the stand-in engines, injects faults from outside by
-signals (stop, kill, pause, restart, wiped disks) and by a proxy on the way from callers to entries
-(delay, reset, silence one way), in series that overlap, and checks from what callers see:
+Starts entries, stores and gates with stand-in engines, injects overlapping series of faults by
+signals (stop, kill, pause, restart, wiped disks) and by a proxy between callers and entries (delay,
+reset, one-way silence), and checks from the callers' side:
 
-- a stream that ends whole has every event once and in order;
-- an accepted batch is listed whole, each item once, with the engine's text;
-- a listed position never changes, whoever is asked;
-- a configuration that is read never goes back behind one that was acknowledged;
-- after the last fault all of it works again within a bound.
+- a stream that ends normally has every event once and in order;
+- the results of an accepted batch are complete, each item once, with the engine's text;
+- a listed position never changes, at any entry;
+- a configuration that is read is never older than an acknowledged one;
+- after the last fault everything works again within a time limit.
 
-Everything is drawn from one seed. Ends only processes that it started, by their ids.
+All random choices derive from one seed. Kills only processes that it started, by process id.
 """
 
 import argparse
@@ -34,7 +34,7 @@
 
 
 class Proxy:
-    """Passes connections on to one entry; can delay, reset or fall silent one way."""
+    """Forwards connections to an entry; can delay or reset them or stall one direction."""
 
     def __init__(self, listen, target):
         self.target, self.mode = target, "pass"
@@ -79,10 +79,10 @@
 
 
 class Fleet:
-    """The processes and where they are."""
+    """The processes of the fleet and their addresses."""
 
     def __init__(self, args, folder, gates):
-        self.gates = gates  # Engines with a process beside them.
+        self.gates = gates  # Number of engines with a gate next to them.
         self.args, self.folder, self.processes, self.first = args, folder, {}, True
         self.entries = [f"127.1.1.{i + 1}" for i in range(args.entries)]
         self.stores = [f"127.1.2.{i + 1}" for i in range(args.stores)]
@@ -143,7 +143,7 @@
 
 
 class Checks:
-    """What callers saw, and what was promised to them."""
+    """Collects what callers observed and checks it against what was acknowledged."""
 
     def __init__(self):
         self.lock, self.failures = threading.Lock(), []
@@ -157,7 +157,7 @@
 
 
 def call(host, port, method, path, headers=None, body=None, timeout=CALL_TIMEOUT_S):
-    """One call; (status, body, whole). Status 0: no answer."""
+    """Sends a request; returns (status, body, whole). Status 0 means no response."""
     connection = http.client.HTTPConnection(host, port, timeout=timeout)
     try:
         connection.request(method, path, body, headers or {})
@@ -199,7 +199,7 @@
     with checks.lock:
         checks.whole += 1
     if data != text_of(path):
-        checks.fail(f"stream {path} ended whole with other events: {data[:80]!r}")
+        checks.fail(f"stream {path} completed with wrong events: {data[:80]!r}")
 
 
 def online_caller(fleet, checks, rng, stop):
@@ -226,10 +226,10 @@
 
 
 def read_batch(entry, batch, checks):
-    """Compares what is listed with all that was listed before. True when it is whole."""
+    """Compares the listed results with earlier reads. True if the batch is complete."""
     status, body, whole = call(entry, FRONT, "GET", f"/lots/{batch}?After=0", {"Host": "h.example"})
     if status == 404:
-        checks.fail(f"batch {batch} was accepted and is not known at {entry}")
+        checks.fail(f"batch {batch} was accepted but is unknown at {entry}")
     if status != 200 or not whole:
         return False
     results = json.loads(body)["Results"]
@@ -245,7 +245,7 @@
         checks.fail(f"batch {batch}: an item is listed twice")
     for result in results:
         if result["State"] != "complete" or result["Text"] != text_of(items[result["Id"]]):
-            checks.fail(f"batch {batch}: item {result['Id']} has another text")
+            checks.fail(f"batch {batch}: item {result['Id']} has a wrong text")
     return len(results) == len(items)
 
 
@@ -272,34 +272,34 @@
         time.sleep(rng.uniform(0.2, 0.8))
 
 
-def one_fault(fleet, rng, log):
-    """One fault and its end; blocks for its length. Losses of disks come one at a time."""
+def inject_fault(fleet, rng, log):
+    """Injects a fault and ends it; blocks meanwhile. Never wipes two disks at the same time."""
     kind = rng.choice(["kill", "pause", "stop", "wipe", "kill_gates", "kill_all", "proxy", "proxy", "pause", "kill"])
-    length = rng.uniform(0.2, 2.5)
+    duration = rng.uniform(0.2, 2.5)
     if kind == "proxy":
         proxy = rng.choice(fleet.proxies)
         proxy.mode = rng.choice(["delay", "reset", "silent"])
-        log(f"proxy {proxy.mode} {length:.1f} s")
-        time.sleep(length)
+        log(f"proxy {proxy.mode} {duration:.1f} s")
+        time.sleep(duration)
         proxy.mode = "pass"
         return
     names = {"kill_all": fleet.all_names(), "kill_gates": fleet.names("gate") or fleet.names("store")[:1]}.get(kind) or [
         rng.choice(fleet.names("entry") + fleet.names("store") if kind == "wipe" else fleet.all_names())]
-    log(f"{kind} {','.join(names) if len(names) < 4 else len(names)} {length:.1f} s")
+    log(f"{kind} {','.join(names) if len(names) < 4 else len(names)} {duration:.1f} s")
     if kind == "pause":
         fleet.processes[names[0]].send_signal(signal.SIGSTOP)
-        time.sleep(length)
+        time.sleep(duration)
         fleet.processes[names[0]].send_signal(signal.SIGCONT)
         return
     for name in names:
         fleet.end(name, signal.SIGTERM if kind == "stop" else signal.SIGKILL)
-    time.sleep(length)
+    time.sleep(duration)
     if kind == "wipe":
         shutil.rmtree(os.path.join(fleet.folder, "data-" + names[0]), ignore_errors=True)
     for name in names:
         fleet.start(name)
     if kind in ("wipe", "kill_all"):
-        time.sleep(5)  # The next loss is borne once this one has caught up.
+        time.sleep(5)  # The fleet tolerates the next loss only after the restarted nodes have caught up.
 
 
 def wait_until(condition, seconds):
@@ -311,8 +311,8 @@
     return False
 
 
-def gates_of(seed, args):
-    """Seeds from 101 on also play fleets that have a process beside some engines only, or beside none."""
+def gate_count(seed, args):
+    """Number of gates; seeds above 100 also run fleets with gates for only some engines, or none."""
     if seed <= 100:
         return args.engines
     return random.Random(f"gates {seed}").choice([0, args.engines // 2, args.engines])
@@ -320,7 +320,7 @@
 
 def run_seed(seed, args):
     rng = random.Random(seed)
-    gates = gates_of(seed, args)
+    gates = gate_count(seed, args)
     folder = tempfile.mkdtemp(prefix=f"papayarack-soak-{seed}-")
     fleet, checks, stop = Fleet(args, folder, gates), Checks(), threading.Event()
     started = time.time()
@@ -344,7 +344,7 @@
             thread.start()
         until = time.time() + args.seconds
         while time.time() < until:
-            one_fault(fleet, rng, log)
+            inject_fault(fleet, rng, log)
             time.sleep(rng.uniform(0.1, 1.5))
         stop.set()
         for thread in threads:
@@ -356,7 +356,7 @@
             left.difference_update([b for b in left if read_batch(rng.choice(fleet.entries), b, checks)])
             return not left
         if not wait_until(all_listed, RECOVERY_S + 18):
-            checks.fail(f"{len(left)} batches not whole after the last fault: {sorted(left)[:3]}")
+            checks.fail(f"{len(left)} batches incomplete after the last fault: {sorted(left)[:3]}")
         served = checks.whole
         for _ in range(10):
             stream("127.1.4.1", checks, rng)
@@ -375,9 +375,9 @@
 
 
 def main():
-    parser = argparse.ArgumentParser(description="soak of the real programs on loopback")
-    parser.add_argument("--seeds", default="1", help="numbers or ranges, as 1,5,10-20")
-    parser.add_argument("--seconds", type=float, default=20, help="length of the faults of one seed")
+    parser = argparse.ArgumentParser(description="soak test of the production programs on loopback")
+    parser.add_argument("--seeds", default="1", help="numbers or ranges, such as 1,5,10-20")
+    parser.add_argument("--seconds", type=float, default=20, help="duration of fault injection per seed")
     parser.add_argument("--entries", type=int, default=3)
     parser.add_argument("--stores", type=int, default=3)
     parser.add_argument("--engines", type=int, default=4)
--- a/tools/svgplot.py
+++ b/tools/svgplot.py
@@ -1,11 +1,11 @@
-"""Bar charts as SVG, without a plotting library."""
+"""Writes SVG bar charts without a plotting library."""
 import pathlib
 
 COLOURS = ["#4c72b0", "#dd8452", "#55a868", "#c44e52"]
 
 
 def bars(path, title, groups, rows):
-    """rows: (name, value for each group). One cluster for each group, one bar for each row."""
+    """rows: (name, value per group). Draws a cluster per group with a bar per row."""
     width, height, left, bottom, top = 760, 360, 50, 60, 50
     largest = max(1.2, max(max(row[1:]) for row in rows))
     largest = min(largest, 4.0)
@@ -25,11 +25,11 @@
     for g, group in enumerate(groups):
         for r, row in enumerate(rows):
             value = row[1 + g]
-            tall = plot * min(value, largest) / largest
+            bar_height = plot * min(value, largest) / largest
             x = left + g * step + step * 0.1 + r * bar
-            out.append(f'<rect x="{x:.1f}" y="{top + plot - tall:.1f}" width="{bar * 0.9:.1f}" '
-                       f'height="{tall:.1f}" fill="{COLOURS[r % 4]}"/>'
-                       f'<text x="{x:.1f}" y="{top + plot - tall - 4:.1f}" '
+            out.append(f'<rect x="{x:.1f}" y="{top + plot - bar_height:.1f}" width="{bar * 0.9:.1f}" '
+                       f'height="{bar_height:.1f}" fill="{COLOURS[r % 4]}"/>'
+                       f'<text x="{x:.1f}" y="{top + plot - bar_height - 4:.1f}" '
                        f'font-size="11">{value:.2f}</text>')
         out.append(f'<text x="{left + g * step + step * 0.3:.1f}" y="{top + plot + 18}">{group}'
                    f'</text>')
