--- a/src/operators/internal/checkcommand.cpp
+++ b/src/operators/internal/checkcommand.cpp
@@ -35,13 +35,13 @@
   } else {
     documents::ParseDocument(document);
   }
-  std::cout << path << ": good " << (settings ? "settings" : "service document")
-            << "\n";
+  std::cout << path << ": valid "
+            << (settings ? "settings" : "service document") << "\n";
   return cli::ExitCode::kOk;
 }
 
-/// Reads everything as a starting member would, but on a view of the folder
-/// that changes nothing.
+/// Read-only file system that ignores writes, so that recovery runs as at the
+/// start of a member without changing the data folder.
 class ReadOnlyView : public storage::FileSystem {
  public:
   explicit ReadOnlyView(storage::FileSystem& real) : real(real) {}
@@ -85,7 +85,7 @@
             << state.entries.size() << " entries after it";
   if (state.cut_bytes > 0) {
     std::cout << ", a torn tail of " << state.cut_bytes
-              << " bytes that a start will cut";
+              << " bytes that the next start will truncate";
   }
   std::cout << "\n";
   for (const std::string& name : files->List()) {
--- a/src/operators/internal/checkcommand.h
+++ b/src/operators/internal/checkcommand.h
@@ -7,8 +7,8 @@
 
 namespace papayarack::operators {
 
-/// Checks a settings file, a service document or a data folder and prints every
-/// error found.
+/// Validates a settings file, a service document or a data folder and prints
+/// every error found.
 cli::ExitCode RunCheck(const std::string& path);
 
 }  // namespace papayarack::operators
--- a/src/operators/internal/entryclient.cpp
+++ b/src/operators/internal/entryclient.cpp
@@ -61,7 +61,7 @@
 
 cli::ExitCode PrintError(const EntryAnswer& answer) {
   if (!answer.body.is_object() || !answer.body.contains("error")) {
-    std::cerr << "papayarack: unexpected answer, status " << answer.status
+    std::cerr << "papayarack: unexpected response, status " << answer.status
               << "\n";
     return cli::ExitCode::kRefused;
   }
@@ -73,7 +73,8 @@
   if (answer.body.contains("difference")) {
     std::cerr << "  in force: " << answer.body["in_force"].dump() << "\n";
     for (const nlohmann::json& line : answer.body["difference"]) {
-      std::cerr << "  yours would: " << line.get<std::string>() << "\n";
+      std::cerr << "  submitted document would: " << line.get<std::string>()
+                << "\n";
     }
   }
   if (code == ResultCode::kConflict) {
--- a/src/operators/internal/entryclient.h
+++ b/src/operators/internal/entryclient.h
@@ -8,7 +8,7 @@
 
 namespace papayarack::operators {
 
-/// The answer of an entry to an operator's request.
+/// The response of an entry to an operator's request.
 struct EntryAnswer {
   int status = 0;
   nlohmann::json body;
@@ -16,11 +16,11 @@
   bool Ok() const { return this->status >= 200 && this->status < 300; }
 };
 
-/// Talks to one process by its HTTP. Throws ResultError(kNoUpstream) when it
-/// cannot be reached. Thread safety: none, one owner.
+/// HTTP client for one process. Throws ResultError(kNoUpstream) if the process
+/// cannot be reached. Thread safety: none.
 class EntryClient {
  public:
-  /// The address comes from --entry, else from PAPAYARACK_ENTRY, else
+  /// Uses the address from --entry, else from PAPAYARACK_ENTRY, else
   /// 127.0.0.1:8080.
   explicit EntryClient(const cli::Arguments& arguments);
   EntryAnswer Get(const std::string& path) const;
@@ -32,7 +32,7 @@
   std::string team;
 };
 
-/// Prints the error of an answer and gives the exit code for it.
+/// Prints the error of a response and returns the matching exit code.
 cli::ExitCode PrintError(const EntryAnswer& answer);
 
 }  // namespace papayarack::operators
--- a/src/operators/internal/explaincommand.cpp
+++ b/src/operators/internal/explaincommand.cpp
@@ -15,25 +15,26 @@
 
 using nlohmann::json;
 
-/// What a process believes; shown as context though it names no request.
-const std::set<std::string> kBeliefs = {"configuration_in_force",
-                                        "coordination_leader_found",
-                                        "engine_changed",
-                                        "group_leader",
-                                        "started",
-                                        "stopping",
-                                        "log_lines_left_out"};
+/// State changes of a process, shown as context although they carry no request
+/// id.
+const std::set<std::string> kContextEvents = {"configuration_in_force",
+                                              "coordination_leader_found",
+                                              "engine_changed",
+                                              "group_leader",
+                                              "started",
+                                              "stopping",
+                                              "log_lines_left_out"};
 
 struct LogLine {
   std::int64_t time_ms = 0;
   std::string process;
   std::string event;
   json fields;
-  bool names_it = false;
+  bool contains_id = false;
 };
 
-/// True when any text field holds exactly the id.
-bool Names(const json& fields, std::string_view id) {
+/// True if any string field equals the id.
+bool ContainsId(const json& fields, std::string_view id) {
   return std::ranges::any_of(fields, [id](const json& value) {
     return value.is_string() && value.get_ref<const std::string&>() == id;
   });
@@ -43,7 +44,7 @@
                            std::span<const std::string> lines) {
   std::vector<LogLine> parsed;
   for (const std::string& text : lines) {
-    // A collector may have put its own words before the line.
+    // A log collector may have added a prefix to the line.
     const std::size_t start = text.find('{');
     if (start == std::string::npos) {
       continue;
@@ -56,7 +57,7 @@
     line.time_ms = fields.value("time_ms", std::int64_t{0});
     line.process = fields.value("role", std::string("?"));
     line.event = fields.value("event", std::string("?"));
-    line.names_it = Names(fields, id);
+    line.contains_id = ContainsId(fields, id);
     line.fields = std::move(fields);
     parsed.push_back(std::move(line));
   }
@@ -64,10 +65,10 @@
   return parsed;
 }
 
-std::string Show(const LogLine& line, std::int64_t start_ms) {
+std::string FormatLine(const LogLine& line, std::int64_t start_ms) {
   std::string text =
       fmt::format("{:>7} ms  {}  {:<24}{}", line.time_ms - start_ms,
-                  line.names_it ? " " : "~", line.process, line.event);
+                  line.contains_id ? " " : "~", line.process, line.event);
   for (const auto& [key, value] : line.fields.items()) {
     if (key != "time_ms" && key != "role" && key != "event" && key != "level") {
       text += fmt::format("  {}={}", key, value.dump());
@@ -93,8 +94,8 @@
     std::cout << line << "\n";
   }
   if (shown.empty()) {
-    std::cerr << "papayarack explain: no line names " << arguments.operands[0]
-              << "\n";
+    std::cerr << "papayarack explain: no log line contains "
+              << arguments.operands[0] << "\n";
     return cli::ExitCode::kRefused;
   }
   return cli::ExitCode::kOk;
@@ -109,7 +110,7 @@
   std::int64_t first = 0;
   std::int64_t last = 0;
   for (const LogLine& line : parsed) {
-    if (line.names_it) {
+    if (line.contains_id) {
       first = processes.empty() ? line.time_ms : first;
       last = line.time_ms;
       processes.insert(line.process);
@@ -119,9 +120,9 @@
   for (const LogLine& line : parsed) {
     const bool context = line.time_ms >= first && line.time_ms <= last &&
                          processes.count(line.process) > 0 &&
-                         kBeliefs.count(line.event) > 0;
-    if (line.names_it || context) {
-      shown.push_back(Show(line, first));
+                         kContextEvents.count(line.event) > 0;
+    if (line.contains_id || context) {
+      shown.push_back(FormatLine(line, first));
     }
   }
   return shown;
@@ -130,7 +131,7 @@
 void RegisterExplain(cli::CommandTable& table) {
   table.Add({"explain",
              "REQUEST-ID FILE...",
-             "shows the way of a request through the logs of processes",
+             "traces a request through the logs of several processes",
              {},
              RunExplain});
 }
--- a/src/operators/internal/explaincommand.h
+++ b/src/operators/internal/explaincommand.h
@@ -10,14 +10,14 @@
 
 namespace papayarack::operators {
 
-/// The way of one request, batch or item through the logs of several processes,
-/// in order of time: the lines that name it, and between the first and the last
-/// of them what the same processes came to believe (configuration, leader,
-/// engine). Lines that are not JSON are skipped. Thread safety: any thread.
+/// Traces a request, batch or item through the logs of several processes, in
+/// order of time: the lines that contain its id and, between the first and last
+/// of them, the state changes (configuration, leader, engine) of the same
+/// processes. Lines that are not JSON are skipped. Thread safety: any thread.
 std::vector<std::string> ExplainRequest(std::string_view id,
                                         std::span<const std::string> lines);
 
-/// `papayarack explain REQUEST-ID FILE...`
+/// Registers `papayarack explain REQUEST-ID FILE...`.
 void RegisterExplain(cli::CommandTable& table);
 
 }  // namespace papayarack::operators
--- a/src/operators/internal/operatorsmodule.cpp
+++ b/src/operators/internal/operatorsmodule.cpp
@@ -20,18 +20,19 @@
 using cli::Arguments;
 using cli::ExitCode;
 
-constexpr std::chrono::milliseconds kWatchEvery{1000};
-constexpr std::chrono::milliseconds kWaitStep{100};
+constexpr std::chrono::milliseconds kWatchInterval{1000};
+constexpr std::chrono::milliseconds kPollInterval{100};
 constexpr int kDefaultWaitSeconds = 30;
 
-const std::vector<cli::OptionSpec> kCommon = {
+const std::vector<cli::OptionSpec> kCommonOptions = {
     {"entry", "HOST:PORT",
-     "an entry; else PAPAYARACK_ENTRY, else 127.0.0.1:8080"},
-    {"team", "NAME", "whose jobs"},
-    {"json", "", "print the answer as JSON"}};
+     "address of an entry (default: PAPAYARACK_ENTRY, else 127.0.0.1:8080)"},
+    {"team", "NAME", "team that owns the jobs"},
+    {"json", "", "print the response as JSON"}};
 
-std::vector<cli::OptionSpec> With(std::vector<cli::OptionSpec> more) {
-  std::vector<cli::OptionSpec> all = kCommon;
+std::vector<cli::OptionSpec> WithCommonOptions(
+    std::vector<cli::OptionSpec> more) {
+  std::vector<cli::OptionSpec> all = kCommonOptions;
   all.insert(all.end(), more.begin(), more.end());
   return all;
 }
@@ -39,13 +40,13 @@
 const std::string& OneOperand(const Arguments& arguments, const char* what) {
   if (arguments.operands.size() != 1) {
     throw ResultError(ResultCode::kBadInput,
-                      std::string("expected one operand: ") + what);
+                      std::string("expected exactly one operand: ") + what);
   }
   return arguments.operands.front();
 }
 
-/// Waits until the service's revision is in force everywhere; names who is
-/// missing otherwise.
+/// Waits until the service's revision is in force on all processes; on timeout
+/// lists the processes that lack it.
 ExitCode WaitInForce(const EntryClient& client, const std::string& service,
                      std::uint64_t revision, int seconds) {
   const auto until =
@@ -61,7 +62,7 @@
                 << " processes\n";
       return ExitCode::kOk;
     }
-    std::this_thread::sleep_for(kWaitStep);
+    std::this_thread::sleep_for(kPollInterval);
   }
   std::cerr << service << ": not in force everywhere after " << seconds
             << " s\n";
@@ -173,7 +174,7 @@
       return ExitCode::kOk;
     }
     std::cout << std::flush;
-    std::this_thread::sleep_for(kWatchEvery);
+    std::this_thread::sleep_for(kWatchInterval);
     std::cout << "\n";
   }
 }
@@ -207,7 +208,7 @@
       return ExitCode::kOk;
     }
     std::cout << std::flush;
-    std::this_thread::sleep_for(kWatchEvery);
+    std::this_thread::sleep_for(kWatchInterval);
   }
 }
 
@@ -236,12 +237,12 @@
   change.address = arguments.Get("address");
   if (change.id == 0 || (add && change.address.empty())) {
     throw ResultError(ResultCode::kBadInput,
-                      "expected --member ID and, to add, --address");
+                      "expected --member ID and, when adding, --address");
   }
   transport::PeerClient peer;
   control::ControlClient client(peer, settings.control);
-  constexpr std::chrono::seconds kPatience{20};
-  control::RequireOk(client.Change(change, kPatience));
+  constexpr std::chrono::seconds kTimeout{20};
+  control::RequireOk(client.Change(change, kTimeout));
   std::cout
       << "member " << change.id
       << (add ? " was added as a learner; it votes once it has caught up\n"
@@ -255,32 +256,35 @@
   RegisterExplain(table);
   table.Add({"check",
              "FILE",
-             "checks settings, a service document or a data folder",
+             "validates settings, a service document or a data folder",
              {},
              [](const Arguments& arguments) {
                return RunCheck(OneOperand(arguments, "FILE"));
              }});
   const cli::OptionSpec wait{"wait", "",
-                             "return when it is in force everywhere"};
+                             "wait until the revision is in force everywhere"};
   const cli::OptionSpec timeout{"timeout", "SECONDS",
-                                "how long --wait waits (30)"};
-  const cli::OptionSpec watch{"watch", "", "print again every second"};
+                                "timeout of --wait (default: 30)"};
+  const cli::OptionSpec watch{"watch", "", "refresh every second"};
   table.Add({"submit", "FILE", "submits a service document",
-             With({wait, timeout}), RunSubmit});
+             WithCommonOptions({wait, timeout}), RunSubmit});
   table.Add({"service", "SERVICE",
-             "shows a service: wanted, in force where, what differs", kCommon,
-             RunService});
+             "shows a service: wanted state, where it is in force, differences",
+             kCommonOptions, RunService});
   table.Add({"status", "[SERVICE]", "shows services and processes",
-             With({wait, timeout, watch}), RunStatus});
-  table.Add({"job", "JOB", "shows a batch job", With({watch}), RunJob});
-  table.Add({"cancel", "JOB", "cancels a batch job", kCommon, RunCancel});
-  table.Add({"dump", "",
-             "prints the state of a process (--entry: its operator_listen)",
-             kCommon, RunDump});
+             WithCommonOptions({wait, timeout, watch}), RunStatus});
+  table.Add(
+      {"job", "JOB", "shows a batch job", WithCommonOptions({watch}), RunJob});
+  table.Add(
+      {"cancel", "JOB", "cancels a batch job", kCommonOptions, RunCancel});
+  table.Add(
+      {"dump", "",
+       "prints the state of a process (--entry: its operator_listen address)",
+       kCommonOptions, RunDump});
   const std::vector<cli::OptionSpec> members = {
-      {"settings", "FILE", "settings that name the control members"},
-      {"member", "ID", "member to change"},
-      {"address", "HOST:PORT", "its peer address"}};
+      {"settings", "FILE", "settings that list the control members"},
+      {"member", "ID", "id of the member"},
+      {"address", "HOST:PORT", "peer address of the member"}};
   table.Add({"control-add", "", "adds a control member", members,
              [](const Arguments& arguments) {
                return ChangeMembers(arguments, true);
--- a/src/operators/operatorsmodule.h
+++ b/src/operators/operatorsmodule.h
@@ -5,8 +5,8 @@
 
 namespace papayarack::operators {
 
-/// Adds the operators' commands: check, submit, service, status, job, cancel,
-/// dump, and the changes of control members.
+/// Registers the operators' commands: explain, check, submit, service, status,
+/// job, cancel, dump, control-add and control-remove.
 void RegisterOperators(cli::CommandTable& table);
 
 }  // namespace papayarack::operators
--- a/src/operators/tests/operators_tests.cpp
+++ b/src/operators/tests/operators_tests.cpp
@@ -4,9 +4,9 @@
 
 namespace papayarack::operators {
 
-// Symptom: a caller complains about one refused request; its way crosses an
-// entry and a gate, whose logs come in two files with clocks in between.
-TEST_CASE("the way of one request is shown in order of time") {
+// Guards against an incomplete trace of a refused request that passed through
+// an entry and a gate, whose log lines are interleaved by time.
+TEST_CASE("a request is traced through several logs in order of time") {
   const std::vector<std::string> lines = {
       R"(  3.1 gate-1 {"time_ms":1004,"role":"gate-1","event":"slot_answered","request":"r1","verdict":"busy","online":8})",
       R"({"time_ms":1001,"role":"entry-1","event":"configuration_in_force","config_version":7})",
@@ -17,12 +17,12 @@
       "not json"};
   const auto shown = ExplainRequest("r1", lines);
   REQUIRE(shown.size() == 3);
-  SECTION("what names it, with all inputs") {
+  SECTION("lines that contain the id, with all fields") {
     CHECK(shown[0].find("slot_answered") != std::string::npos);
     CHECK(shown[0].find("online=8") != std::string::npos);
     CHECK(shown[2].find("reason=\"full\"") != std::string::npos);
   }
-  SECTION("what its processes came to believe meanwhile, marked") {
+  SECTION("state changes of its processes in between, marked") {
     CHECK(shown[1].find("~  entry-1") != std::string::npos);
   }
   SECTION("nothing for an unknown id") {
