--- a/src/roles/internal/rolesmodule.cpp
+++ b/src/roles/internal/rolesmodule.cpp
@@ -18,11 +18,11 @@
 namespace papayarack::roles {
 namespace {
 
-constexpr std::chrono::milliseconds kStep{20};
-constexpr std::chrono::milliseconds kHandOver{300};
+constexpr std::chrono::milliseconds kPollInterval{20};
+constexpr std::chrono::milliseconds kLeaderHandoverTime{300};
 constexpr std::uint64_t kSoloMember = 1;
 
-/// The parts of one process: which of them exist depends on the role.
+/// The components of a process; the role determines which of them exist.
 struct Process {
   Settings settings;
   Metrics metrics;
@@ -32,9 +32,9 @@
   std::unique_ptr<introspection::StatusServer> status;
 };
 
-/// A laptop's or a first try's process: one control member, whose folder is
-/// made when missing.
-void CompleteSolo(Settings& settings) {
+/// Completes the settings of a process that runs all roles, with a single
+/// control member, and formats its data folder if necessary.
+void PrepareSolo(Settings& settings) {
   if (settings.control.empty()) {
     settings.control.push_back({kSoloMember, settings.peer_listen});
   }
@@ -97,16 +97,16 @@
 }
 
 template <typename Condition>
-void WaitUntil(const Condition& condition, std::chrono::milliseconds most) {
-  for (std::chrono::milliseconds waited{0}; waited < most && !condition();
-       waited += kStep) {
-    std::this_thread::sleep_for(kStep);
+void WaitUntil(const Condition& condition, std::chrono::milliseconds timeout) {
+  for (std::chrono::milliseconds waited{0}; waited < timeout && !condition();
+       waited += kPollInterval) {
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
-/// Symptom guarded against: requests are cut when a process is replaced. Each
-/// part first says that it leaves, then takes nothing new, then finishes what
-/// it has, then goes; in the order in which requests flow.
+/// Shuts down gracefully, so that replacing a process cuts no request. Each
+/// component announces that it leaves, refuses new work, finishes its current
+/// work and stops, in the order in which requests flow.
 void StopParts(Process& process) {
   const std::chrono::milliseconds grace = process.settings.shutdown_grace;
   Log(LogLevel::kInfo, "stopping");
@@ -126,7 +126,7 @@
   process.gates.clear();
   if (process.control != nullptr) {
     process.control->BeginLeave();
-    std::this_thread::sleep_for(kHandOver);
+    std::this_thread::sleep_for(kLeaderHandoverTime);
   }
   process.status.reset();
   process.control.reset();
@@ -143,14 +143,14 @@
   Process process;
   process.settings = ParseSettings(ParseJson(ReadWholeFile(path), path));
   if (process.settings.role != role) {
-    throw ResultError(ResultCode::kBadInput, path + ": [/role] is " +
-                                                 process.settings.role +
-                                                 ", the command is " + role);
+    throw ResultError(ResultCode::kBadInput,
+                      path + ": [/role] is " + process.settings.role +
+                          ", but the command is " + role);
   }
   BlockStopSignals();
   StartLogging(process.settings.log, process.settings.name);
   if (role == "solo") {
-    CompleteSolo(process.settings);
+    PrepareSolo(process.settings);
   }
   StartParts(process);
   StartStatus(process);
@@ -172,11 +172,11 @@
       std::strtoull(arguments.Get("member").c_str(), nullptr, 10);
   if (member == 0) {
     throw ResultError(ResultCode::kBadInput,
-                      "--member: expected a number above zero");
+                      "--member: expected a positive number");
   }
   control::FormatDataFolder(settings, member, arguments.Has("join"));
-  std::cout << settings.data_folder << " belongs to member " << member
-            << " now\n";
+  std::cout << settings.data_folder << " formatted for member " << member
+            << "\n";
   return cli::ExitCode::kOk;
 }
 
@@ -184,12 +184,12 @@
 
 void RegisterRoles(cli::CommandTable& table) {
   const std::vector<cli::OptionSpec> options = {
-      {"settings", "FILE", "settings of this process"}};
+      {"settings", "FILE", "settings file of this process"}};
   const std::vector<std::pair<std::string, std::string>> roles = {
-      {"entry", "runs an entry: callers' and operators' HTTP"},
-      {"side", "runs the gate beside one upstream"},
+      {"entry", "runs an entry: HTTP for callers and operators"},
+      {"side", "runs the gate of each upstream"},
       {"control", "runs a control member on a formatted data folder"},
-      {"solo", "runs all roles in one process, for a laptop or a first try"}};
+      {"solo", "runs all roles in one process, for local use or evaluation"}};
   for (const auto& entry : roles) {
     const std::string role = entry.first;
     table.Add({role, "", entry.second, options,
@@ -201,10 +201,11 @@
       {"format",
        "",
        "prepares the data folder of a control member, once",
-       {{"settings", "FILE", "settings of the member"},
-        {"member", "ID", "its member id; a wiped disk never gets its old one"},
+       {{"settings", "FILE", "settings file of the member"},
+        {"member", "ID",
+         "member id; never reuse the old id after a disk was wiped"},
         {"join", "",
-         "join a running cluster; then run `papayarack control-add`"}},
+         "join a running cluster; run `papayarack control-add` afterwards"}},
        RunFormat});
 }
 
--- a/src/roles/internal/signalwait.h
+++ b/src/roles/internal/signalwait.h
@@ -3,8 +3,8 @@
 
 namespace papayarack::roles {
 
-/// Blocks SIGTERM and SIGINT for this thread and those it starts, and ignores
-/// SIGPIPE. Call it before any thread is made.
+/// Blocks SIGTERM and SIGINT for this thread and the threads that it creates,
+/// and ignores SIGPIPE. Call it before any thread is created.
 void BlockStopSignals();
 
 /// Waits for SIGTERM or SIGINT.
--- a/src/roles/rolesmodule.h
+++ b/src/roles/rolesmodule.h
@@ -5,7 +5,7 @@
 
 namespace papayarack::roles {
 
-/// Adds the roles entry, side, control and solo, and `format` for data folders.
+/// Registers the roles entry, side, control and solo, and the `format` command.
 void RegisterRoles(cli::CommandTable& table);
 
 }  // namespace papayarack::roles
