--- a/src/cli/commandtable.h
+++ b/src/cli/commandtable.h
@@ -10,18 +10,18 @@
 
 namespace papayarack::cli {
 
-/// What the program's exit codes mean; docs/API.md lists them.
+/// Exit codes of the program; docs/API.md lists them.
 enum class ExitCode : int {
   kOk = 0,
-  kRefused = 1,     ///< The work was refused or failed; the message carries the
-                    ///< result code.
+  kRefused = 1,     ///< The request was refused or failed; the message contains
+                    ///< the result code.
   kUsage = 2,       ///< The command line is wrong.
-  kBadInput = 3,    ///< A file breaks its rules.
-  kNotInForce = 4,  ///< The revision is not in force everywhere in time.
-  kConflict = 5,    ///< Another content holds this version.
+  kBadInput = 3,    ///< A file is invalid.
+  kNotInForce = 4,  ///< The revision was not in force everywhere in time.
+  kConflict = 5,    ///< This version already exists with other content.
 };
 
-/// One option of a command: --name VALUE, or --name alone when `value_name` is
+/// An option of a command: --name VALUE, or --name alone if `value_name` is
 /// empty.
 struct OptionSpec {
   std::string name;
@@ -29,7 +29,7 @@
   std::string help;
 };
 
-/// What the command line said.
+/// Parsed options and operands of a command line.
 struct Arguments {
   std::map<std::string, std::string, std::less<>> options;
   std::vector<std::string> operands;
@@ -37,10 +37,11 @@
   bool Has(std::string_view name) const {
     return this->options.find(name) != this->options.end();
   }
-  std::string Get(std::string_view name, std::string_view otherwise = {}) const;
+  std::string Get(std::string_view name,
+                  std::string_view default_value = {}) const;
 };
 
-/// One command of the program.
+/// A command of the program.
 struct Command {
   std::string name;
   std::string operands;  ///< For the usage line, such as "FILE".
@@ -49,11 +50,12 @@
   std::function<ExitCode(const Arguments&)> run;
 };
 
-/// The commands that the modules have registered. Thread safety: none.
+/// The commands registered by the modules. Thread safety: none.
 class CommandTable {
  public:
   void Add(Command command);
-  /// Parses and runs. Errors go to standard error; returns the exit code.
+  /// Parses the command line and runs the command. Prints errors to standard
+  /// error; returns the exit code.
   int Run(std::span<const char* const> arguments) const;
   const std::map<std::string, Command>& all() const { return this->commands; }
 
--- a/src/cli/internal/commandtable.cpp
+++ b/src/cli/internal/commandtable.cpp
@@ -13,7 +13,7 @@
 namespace papayarack::cli {
 namespace {
 
-ExitCode ExitFor(ResultCode code) {
+ExitCode ExitCodeFor(ResultCode code) {
   switch (code) {
     case ResultCode::kBadInput:
     case ResultCode::kTooLarge:
@@ -25,7 +25,7 @@
   }
 }
 
-/// The popt table of one command and the storage that it points into.
+/// The popt option table of a command. It points into the command's strings.
 struct OptionTable {
   std::vector<poptOption> rows;
   int next_value = 1;
@@ -42,7 +42,7 @@
       this->rows.push_back(row);
     }
     this->rows.push_back(poptOption{"help", 'h', POPT_ARG_NONE, nullptr, -100,
-                                    "show this", nullptr});
+                                    "show this help", nullptr});
     this->rows.push_back(poptOption{});
   }
 };
@@ -78,9 +78,10 @@
 }  // namespace
 
 std::string Arguments::Get(std::string_view name,
-                           std::string_view otherwise) const {
+                           std::string_view default_value) const {
   const auto found = this->options.find(name);
-  return found != this->options.end() ? found->second : std::string(otherwise);
+  return found != this->options.end() ? found->second
+                                      : std::string(default_value);
 }
 
 void CommandTable::Add(Command command) {
@@ -117,7 +118,7 @@
   }
   const auto found = this->commands.find(std::string(name));
   if (found == this->commands.end()) {
-    std::cerr << "papayarack: no such command: " << name
+    std::cerr << "papayarack: unknown command: " << name
               << "; see papayarack --help\n";
     return static_cast<int>(ExitCode::kUsage);
   }
@@ -157,7 +158,7 @@
     std::cerr << "papayarack " << command.name << ": " << error.what()
               << "\n  code " << static_cast<int>(info.code) << " " << info.name
               << ": " << info.advice << "\n";
-    return static_cast<int>(ExitFor(error.result().code));
+    return static_cast<int>(ExitCodeFor(error.result().code));
   } catch (const std::exception& error) {
     std::cerr << "papayarack " << command.name << ": " << error.what() << "\n";
     return static_cast<int>(ExitCode::kRefused);
--- a/src/cli/tests/cli_tests.cpp
+++ b/src/cli/tests/cli_tests.cpp
@@ -6,7 +6,7 @@
 
 namespace papayarack::cli {
 
-TEST_CASE("the command line") {
+TEST_CASE("a command table runs commands") {
   Arguments seen;
   CommandTable table;
   table.Add({"job",
@@ -20,7 +20,7 @@
                }
                return ExitCode::kOk;
              }});
-  SECTION("hands options and operands to the command") {
+  SECTION("passes options and operands to the command") {
     const std::array<const char*, 5> line = {"papayarack", "job", "--entry",
                                              "a:1", "id-1"};
     CHECK(table.Run(line) == 0);
@@ -28,11 +28,11 @@
     CHECK(seen.operands == std::vector<std::string>{"id-1"});
     CHECK(seen.Get("absent", "x") == "x");
   }
-  SECTION("turns a result code into an exit code") {
+  SECTION("maps a result code to an exit code") {
     const std::array<const char*, 3> line = {"papayarack", "job", "--json"};
     CHECK(table.Run(line) == static_cast<int>(ExitCode::kConflict));
   }
-  SECTION("refuses unknown commands and options") {
+  SECTION("rejects unknown commands and options") {
     const std::array<const char*, 2> unknown = {"papayarack", "jab"};
     CHECK(table.Run(unknown) == static_cast<int>(ExitCode::kUsage));
     const std::array<const char*, 3> option = {"papayarack", "job", "--jsn"};
