--- a/bench/corebench.cpp
+++ b/bench/corebench.cpp
@@ -1,6 +1,6 @@
-// Measures the decision cores and the control state in one process: time of a
-// decision, bytes and memory of each unit, and completions through one group.
-// Prints one JSON object; tools/capacity turns it into docs/CAPACITY.md.
+// Benchmarks the decision cores and the control state in one process: time per
+// decision, bytes and memory per unit, and completions through one group.
+// Prints one JSON object, from which tools/capacity writes docs/CAPACITY.md.
 #include <malloc.h>
 #include <unistd.h>
 
@@ -31,14 +31,14 @@
   for (std::size_t i = 0; i < count; ++i) {
     work(i);
   }
-  const auto took =
+  const auto elapsed =
       std::chrono::duration<double, std::nano>(Clock::now() - start);
-  return took.count() / static_cast<double>(count);
+  return elapsed.count() / static_cast<double>(count);
 }
 
 double HeapBytes() { return static_cast<double>(mallinfo2().uordblks); }
 
-std::vector<fleet::FleetMember> Sides(std::size_t count) {
+std::vector<fleet::FleetMember> MakeSides(std::size_t count) {
   std::vector<fleet::FleetMember> members(count);
   for (std::size_t i = 0; i < count; ++i) {
     fleet::ProcessReport& report = members[i].report;
@@ -55,7 +55,7 @@
   return members;
 }
 
-/// Time to work out who owns the engines that no process stands beside.
+/// Time to assign owners to the engines that have no local gate.
 nlohmann::json HostCosts() {
   constexpr std::size_t kZones = 17;
   constexpr std::size_t kRounds = 20;
@@ -84,7 +84,7 @@
 nlohmann::json RouterCosts() {
   nlohmann::json rows = nlohmann::json::array();
   for (const std::size_t count : {12U, 128U, 1024U, 4900U}) {
-    const auto members = Sides(count);
+    const auto members = MakeSides(count);
     const double before = HeapBytes();
     entry::RouterCore router({"zone-1", 1, 0.34, 3.0, 0.75});
     router.SetFleet(members, true);
@@ -126,8 +126,8 @@
   return rows;
 }
 
-/// A state machine with one input file of `items` items.
-struct Desk {
+/// A state machine that counts the log bytes of its commands.
+struct TestStateMachine {
   storage::MemoryFileSystem files;
   storage::BlobStore blobs{files, "blob"};
   statemachine::StateMachine machine{blobs};
@@ -161,11 +161,11 @@
   nlohmann::json rows = nlohmann::json::array();
   constexpr std::size_t kResultBytes = 1000;
   for (const std::size_t items : {4000U, 16000U, 63000U}) {
-    Desk desk;
-    desk.MakeJob(items);
+    TestStateMachine state_machine;
+    state_machine.MakeJob(items);
     malloc_trim(0);
-    const std::size_t input_log = std::exchange(desk.log_bytes, 0);
-    const std::size_t state = desk.machine.jobs().Save().size();
+    const std::size_t input_log = std::exchange(state_machine.log_bytes, 0);
+    const std::size_t state = state_machine.machine.jobs().Save().size();
     std::size_t done = 0;
     std::vector<jobs::ItemOutcome> outcomes;
     const Clock::time_point start = Clock::now();
@@ -174,7 +174,7 @@
       pull.outcomes = std::exchange(outcomes, {});
       pull.lease = {"gate", 1, "counter", 16, 0, 1000000, {}};
       const auto reply =
-          DecodeMessage<statemachine::LeaseReply>(desk.Run(pull).body);
+          DecodeMessage<statemachine::LeaseReply>(state_machine.Run(pull).body);
       for (const jobs::LeasedItem& item : reply.items) {
         outcomes.push_back(
             {item.key, item.attempt, 0, std::string(kResultBytes, 'r'), {}});
@@ -192,8 +192,8 @@
           static_cast<double>(state) / static_cast<double>(items)},
          {"input_log_bytes_per_item",
           static_cast<double>(input_log) / static_cast<double>(items)},
-         {"log_bytes_per_item",
-          static_cast<double>(desk.log_bytes) / static_cast<double>(items)},
+         {"log_bytes_per_item", static_cast<double>(state_machine.log_bytes) /
+                                    static_cast<double>(items)},
          {"apply_ns_per_item", nanos / static_cast<double>(items)}});
   }
   return rows;
@@ -202,19 +202,20 @@
 nlohmann::json DocumentCosts() {
   nlohmann::json rows = nlohmann::json::array();
   for (const std::size_t services : {10U, 100U, 1000U}) {
-    Desk desk;
+    TestStateMachine state_machine;
     const std::string text(1500, 'd');
     const double nanos = NanosEach(services, [&](std::size_t i) {
-      desk.Run(statemachine::SubmitDocument{"service-" + std::to_string(i), 1,
-                                            text});
+      state_machine.Run(statemachine::SubmitDocument{
+          "service-" + std::to_string(i), 1, text});
     });
     const double state =
-        static_cast<double>(desk.machine.documents().Save().size());
-    rows.push_back({{"services", services},
-                    {"apply_ns", nanos},
-                    {"state_bytes_each", state / static_cast<double>(services)},
-                    {"log_bytes_each", static_cast<double>(desk.log_bytes) /
-                                           static_cast<double>(services)}});
+        static_cast<double>(state_machine.machine.documents().Save().size());
+    rows.push_back(
+        {{"services", services},
+         {"apply_ns", nanos},
+         {"state_bytes_each", state / static_cast<double>(services)},
+         {"log_bytes_each", static_cast<double>(state_machine.log_bytes) /
+                                static_cast<double>(services)}});
   }
   return rows;
 }
@@ -222,7 +223,7 @@
 nlohmann::json HeartbeatCosts() {
   nlohmann::json rows = nlohmann::json::array();
   for (const std::size_t members : {30U, 300U, 5260U}) {
-    const auto sides = Sides(members);
+    const auto sides = MakeSides(members);
     fleet::FleetTable table(std::chrono::seconds(10));
     const double before = HeapBytes();
     for (const auto& side : sides) {
@@ -252,7 +253,7 @@
   return rows;
 }
 
-/// Appends and syncs of batches of 1 KB entries on the real disk.
+/// Time to append and sync batches of 1 KB entries on the real disk.
 nlohmann::json SyncCosts() {
   nlohmann::json rows = nlohmann::json::array();
   const std::string folder = (std::filesystem::temp_directory_path() /
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -1,6 +1,6 @@
-// An open-loop load generator for streamed completions. Requests are sent when
-// they are due, whatever became of earlier ones, and times count from when they
-// were due, so that a stall shows in every request that it delayed.
+// An open-loop load generator for streamed completions. Requests are sent at
+// their scheduled times regardless of earlier ones, and latencies count from
+// the scheduled time, so that a stall shows in every request that it delayed.
 #include <httplib.h>
 #include <popt.h>
 
@@ -17,14 +17,14 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::chrono::seconds kPatience{60};
+constexpr std::chrono::seconds kReadTimeout{60};
 
 double MillisSince(Clock::time_point start) {
   return std::chrono::duration<double, std::milli>(Clock::now() - start)
       .count();
 }
 
-/// Where and how the load goes.
+/// Endpoints and model that receive the load.
 struct Target {
   std::vector<Endpoint> endpoints;
   std::string model;
@@ -45,10 +45,10 @@
       .dump();
 }
 
-/// Watches the events of one answer go by.
-class EventWatch {
+/// Measures token times in the event stream of a response.
+class TokenTimer {
  public:
-  explicit EventWatch(Clock::time_point due) : due(due) {}
+  explicit TokenTimer(Clock::time_point due) : due(due) {}
 
   void Add(std::string_view bytes, RequestOutcome& outcome) {
     this->pending.append(bytes);
@@ -84,10 +84,10 @@
              std::size_t number, Clock::time_point due, LoadReport& report) {
   const Endpoint& endpoint = target.endpoints[number % target.endpoints.size()];
   httplib::Client client(endpoint.host, endpoint.port);
-  client.set_read_timeout(kPatience);
+  client.set_read_timeout(kReadTimeout);
   client.set_tcp_nodelay(true);
   RequestOutcome outcome;
-  EventWatch watch(due);
+  TokenTimer timer(due);
   httplib::Request http;
   http.method = "POST";
   http.path = "/v1/chat/completions";
@@ -99,7 +99,7 @@
   };
   http.content_receiver = [&](const char* data, std::size_t length,
                               std::uint64_t, std::uint64_t) {
-    watch.Add({data, length}, outcome);
+    timer.Add({data, length}, outcome);
     return true;
   };
   client.send(http);
@@ -107,8 +107,8 @@
   report.Add(std::move(outcome));
 }
 
-/// Keeps `workers` requests going until the end, as a batch that knows no gate
-/// would.
+/// Closed loop: keeps `workers` requests in flight until the end, like a batch
+/// client that bypasses the gates.
 void RunClosed(const Target& target, const TraceOptions& trace, int workers,
                LoadReport& report) {
   const Clock::time_point end =
@@ -172,16 +172,18 @@
   int seed = 1;
   int closed = 0;
   poptOption table[] = {
-      {"target", 't', POPT_ARG_STRING, &targets, 0, "where to send, in turn",
+      {"target", 't', POPT_ARG_STRING, &targets, 0, "endpoints, used in turn",
        "HOST:PORT,..."},
-      {"model", 'm', POPT_ARG_STRING, &model, 0, "model to ask for", "NAME"},
-      {"rate", 0, POPT_ARG_DOUBLE, &trace.rate, 0, "mean requests a second",
+      {"model", 'm', POPT_ARG_STRING, &model, 0, "model to request", "NAME"},
+      {"rate", 0, POPT_ARG_DOUBLE, &trace.rate, 0, "mean requests per second",
        "N"},
-      {"seconds", 0, POPT_ARG_DOUBLE, &trace.seconds, 0, "length", "S"},
-      {"burst", 0, POPT_ARG_DOUBLE, &trace.burst, 0, "rate of bursts", "N"},
-      {"tokens", 0, POPT_ARG_DOUBLE, &trace.mean_tokens, 0, "mean answer", "N"},
+      {"seconds", 0, POPT_ARG_DOUBLE, &trace.seconds, 0, "duration", "S"},
+      {"burst", 0, POPT_ARG_DOUBLE, &trace.burst, 0,
+       "burst rate as a multiple of the mean", "N"},
+      {"tokens", 0, POPT_ARG_DOUBLE, &trace.mean_tokens, 0,
+       "mean response tokens", "N"},
       {"closed", 0, POPT_ARG_INT, &closed, 0,
-       "keep so many requests going instead of an open loop", "N"},
+       "closed loop with this many concurrent requests", "N"},
       {"seed", 0, POPT_ARG_INT, &seed, 0, "seed of the trace", "N"},
       POPT_AUTOHELP POPT_TABLEEND};
   poptContext context = poptGetContext("papayarack_load", argc, argv, table, 0);
--- a/bench/loadreport.h
+++ b/bench/loadreport.h
@@ -8,17 +8,16 @@
 
 namespace papayarack::bench {
 
-/// What became of one request; times in milliseconds.
+/// Result of a request; times in milliseconds.
 struct RequestOutcome {
   int status = 0;
   bool whole = false;
-  double first_token =
-      0;  ///< From the time it was due, not from when it was sent.
+  double first_token = 0;  ///< From the scheduled time, not the send time.
   double total = 0;
   std::vector<double> gaps;  ///< Between tokens.
 };
 
-/// Collects outcomes and sums them up. Thread safety: any thread.
+/// Collects and summarises request outcomes. Thread safety: any thread.
 class LoadReport {
  public:
   void Add(RequestOutcome outcome);
--- a/bench/resultbench.cpp
+++ b/bench/resultbench.cpp
@@ -1,7 +1,7 @@
-// Measures the way of a batch item through the job group: five members in one
-// process, each on a thread of its own, and gates that pull, hold and report
-// items as a fleet's do. Prints one JSON object: processor time of the leader,
-// of a follower and of a log writer, results reported and bytes sent for each.
+// Benchmarks batch items in the job group: five members in one process, each
+// with its own thread, and gates that pull, run and report items as in a fleet.
+// Prints one JSON object: processor time of the leader, of a follower and of a
+// log writer, results reported and bytes sent per result.
 #include <popt.h>
 #include <pthread.h>
 #include <unistd.h>
@@ -30,19 +30,19 @@
 using batches::ItemRef;
 using std::chrono::milliseconds;
 
-/// The load of one run.
+/// Load parameters of a run.
 struct Load {
   int gates = 144;
-  int slots = 7;  ///< Items that a gate runs at once.
+  int slots = 7;  ///< Concurrent items per gate.
   int batches = 700;
-  int items = 10;         ///< Of a batch.
-  int body_bytes = 1500;  ///< Of an item.
+  int items = 10;         ///< Items per batch.
+  int body_bytes = 1500;  ///< Body size of an item.
   int elsewhere = 0;      ///< Items that wait for a service without gates.
   int text_bytes = 20000;
   int routes = 44;
-  int run_ms = 5600;  ///< Of one item.
+  int run_ms = 5600;  ///< Run time of an item.
   int seconds = 10;
-  int copies = 1;  ///< Reports of each outcome, one right after the other.
+  int copies = 1;  ///< Identical reports per outcome, sent back to back.
 };
 
 constexpr const char* kHost = "batches.example";
@@ -84,7 +84,7 @@
   return Seconds(time);
 }
 
-/// One member of the group on a loop and a thread of its own.
+/// A member of the group with its own event loop and thread.
 class Member {
  public:
   Member(consensus::MemberId id, const std::string& folder)
@@ -125,11 +125,11 @@
         [](const std::string& reason) { std::cerr << reason << "\n"; });
     this->store->OnRoutes(table);
     this->thread = std::thread([this] { this->context.run(); });
-    // Tells the members apart for a profiler.
+    // Lets a profiler distinguish the members.
     pthread_setname_np(this->thread.native_handle(), this->Name().c_str());
   }
 
-  /// Processor time of this member's loop, in seconds.
+  /// Processor time of this member's event loop, in seconds.
   double ProcessorTime() {
     clockid_t clock{};
     pthread_getcpuclockid(this->thread.native_handle(), &clock);
@@ -151,10 +151,10 @@
   std::thread thread;
 };
 
-/// Gates and callers of the group, all on the calling thread.
-class Callers {
+/// Gates and callers of the group, all run by the calling thread.
+class LoadDriver {
  public:
-  Callers(const Load& load, std::uint16_t leader)
+  LoadDriver(const Load& load, std::uint16_t leader)
       : load(load), leader{"127.0.0.1", leader}, peers(this->context) {}
 
   void Submit() {
@@ -170,7 +170,7 @@
     }
   }
 
-  void Play(milliseconds time) {
+  void RunLoad(milliseconds time) {
     for (int i = 0; i < this->load.gates; ++i) {
       this->gates["gate-" + std::to_string(i)];
     }
@@ -183,12 +183,12 @@
     }
   }
 
-  std::uint64_t reported = 0;  ///< Outcomes whose report was answered.
-  std::uint64_t refused = 0;   ///< Reports that were refused.
+  std::uint64_t reported = 0;  ///< Outcomes in accepted reports.
+  std::uint64_t refused = 0;   ///< Refused reports.
 
  private:
   struct Gate {
-    std::map<ItemRef, Time> running;  ///< Until when.
+    std::map<ItemRef, Time> running;  ///< End of the run.
     std::deque<ItemRef> ended;
     bool pulling = false;
     bool reporting = false;
@@ -207,8 +207,8 @@
                              350});
     }
     ++this->submitting;
-    this->Ask("/jobs/submit", EncodeMessage(batch),
-              [this](const std::string&) { --this->submitting; });
+    this->Call("/jobs/submit", EncodeMessage(batch),
+               [this](const std::string&) { --this->submitting; });
   }
 
   void Run(milliseconds time) {
@@ -216,8 +216,8 @@
     this->context.restart();
   }
 
-  void Ask(const std::string& path, std::string body,
-           std::function<void(std::string)> done) {
+  void Call(const std::string& path, std::string body,
+            std::function<void(std::string)> done) {
     transport::CallHandlers handlers;
     handlers.on_message = std::move(done);
     this->peers.Call(this->leader, path, std::move(body), std::move(handlers));
@@ -252,7 +252,7 @@
     pull.holding.insert(pull.holding.end(), gate.ended.begin(),
                         gate.ended.end());
     gate.pulling = true;
-    this->Ask(
+    this->Call(
         "/jobs/pull", EncodeMessage(pull),
         [this, &gate](const std::string& reply) {
           gate.pulling = false;
@@ -278,20 +278,20 @@
     gate.reporting = true;
     const std::string bytes = EncodeMessage(report);
     for (int copy = 1; copy < this->load.copies; ++copy) {
-      this->Ask("/jobs/report", bytes, [](const std::string&) {});
+      this->Call("/jobs/report", bytes, [](const std::string&) {});
     }
-    this->Ask("/jobs/report", bytes,
-              [this, &gate, count](const std::string& reply) {
-                gate.reporting = false;
-                if (DecodeMessage<coordination::GroupReply>(reply).code != 0) {
-                  ++this->refused;
-                  return;
-                }
-                this->reported += count;
-                gate.ended.erase(
-                    gate.ended.begin(),
-                    gate.ended.begin() + static_cast<std::ptrdiff_t>(count));
-              });
+    this->Call("/jobs/report", bytes,
+               [this, &gate, count](const std::string& reply) {
+                 gate.reporting = false;
+                 if (DecodeMessage<coordination::GroupReply>(reply).code != 0) {
+                   ++this->refused;
+                   return;
+                 }
+                 this->reported += count;
+                 gate.ended.erase(
+                     gate.ended.begin(),
+                     gate.ended.begin() + static_cast<std::ptrdiff_t>(count));
+               });
   }
 
   Load load;
@@ -299,10 +299,10 @@
   asio::io_context context;
   transport::PeerClient peers;
   std::map<std::string, Gate> gates;
-  int submitting = 0;  ///< Batches that were not answered yet.
+  int submitting = 0;  ///< Batches not yet acknowledged.
 };
 
-nlohmann::json Play(const Load& load) {
+nlohmann::json RunLoad(const Load& load) {
   const std::filesystem::path folder =
       std::filesystem::temp_directory_path() /
       ("papayarack-results-" + std::to_string(getpid()));
@@ -323,12 +323,12 @@
   Member& leader = *std::ranges::find_if(members, leads);
   Member& follower =
       &leader == &members.front() ? members.back() : members.front();
-  Callers callers(load, ParseEndpoint(leader.Address(), "leader").port);
-  callers.Submit();
-  constexpr milliseconds kSettled{1600};
-  std::this_thread::sleep_for(kSettled);
+  LoadDriver driver(load, ParseEndpoint(leader.Address(), "leader").port);
+  driver.Submit();
+  constexpr milliseconds kSettleTime{1600};
+  std::this_thread::sleep_for(kSettleTime);
 
-  // What neither the loops nor this thread take is the log writers'.
+  // The remaining processor time belongs to the log writers.
   const auto writers_time = [&members] {
     double time = ProcessorTimeOf(CLOCK_PROCESS_CPUTIME_ID) -
                   ProcessorTimeOf(CLOCK_THREAD_CPUTIME_ID);
@@ -341,23 +341,23 @@
   const double leader_before = leader.ProcessorTime();
   const double follower_before = follower.ProcessorTime();
   const std::uint64_t sent_before = leader.SentBytes();
-  callers.Play(std::chrono::seconds(load.seconds));
-  const double leader_took = leader.ProcessorTime() - leader_before;
-  const double writer_took = (writers_time() - writers_before) / kMembers;
-  const double follower_took = follower.ProcessorTime() - follower_before;
+  driver.RunLoad(std::chrono::seconds(load.seconds));
+  const double leader_time = leader.ProcessorTime() - leader_before;
+  const double writer_time = (writers_time() - writers_before) / kMembers;
+  const double follower_time = follower.ProcessorTime() - follower_before;
   const std::uint64_t sent = leader.SentBytes() - sent_before;
   const std::string leader_name = leader.Name();
-  const double reported = std::max(1.0, static_cast<double>(callers.reported));
+  const double reported = std::max(1.0, static_cast<double>(driver.reported));
   constexpr double kMicros = 1e6;
   members.clear();
   std::filesystem::remove_all(folder);
   return {{"leader", leader_name},
           {"reported_per_s", reported / load.seconds},
-          {"refused", callers.refused},
-          {"leader_core", leader_took / load.seconds},
-          {"follower_core", follower_took / load.seconds},
-          {"writer_core", writer_took / load.seconds},
-          {"leader_us_per_item", leader_took * kMicros / reported},
+          {"refused", driver.refused},
+          {"leader_core", leader_time / load.seconds},
+          {"follower_core", follower_time / load.seconds},
+          {"writer_core", writer_time / load.seconds},
+          {"leader_us_per_item", leader_time * kMicros / reported},
           {"leader_bytes_per_item", static_cast<double>(sent) / reported}};
 }
 
@@ -369,17 +369,21 @@
   const std::vector<poptOption> options = {
       {"gates", 0, POPT_ARG_INT, &load.gates, 0, "gates", nullptr},
       {"batches", 0, POPT_ARG_INT, &load.batches, 0, "batches", nullptr},
-      {"items", 0, POPT_ARG_INT, &load.items, 0, "items of a batch", nullptr},
-      {"body-bytes", 0, POPT_ARG_INT, &load.body_bytes, 0, "an item's body",
-       nullptr},
+      {"items", 0, POPT_ARG_INT, &load.items, 0, "items per batch", nullptr},
+      {"body-bytes", 0, POPT_ARG_INT, &load.body_bytes, 0,
+       "body size of an item", nullptr},
       {"elsewhere", 0, POPT_ARG_INT, &load.elsewhere, 0,
        "items that wait for a service without gates", nullptr},
-      {"text-bytes", 0, POPT_ARG_INT, &load.text_bytes, 0, "a result's text",
+      {"text-bytes", 0, POPT_ARG_INT, &load.text_bytes, 0,
+       "text size of a result", nullptr},
+      {"routes", 0, POPT_ARG_INT, &load.routes, 0, "configured routes",
+       nullptr},
+      {"run-ms", 0, POPT_ARG_INT, &load.run_ms, 0, "run time of an item",
+       nullptr},
+      {"seconds", 0, POPT_ARG_INT, &load.seconds, 0, "duration of the run",
+       nullptr},
+      {"copies", 0, POPT_ARG_INT, &load.copies, 0, "copies of each report",
        nullptr},
-      {"routes", 0, POPT_ARG_INT, &load.routes, 0, "routes in force", nullptr},
-      {"run-ms", 0, POPT_ARG_INT, &load.run_ms, 0, "time of an item", nullptr},
-      {"seconds", 0, POPT_ARG_INT, &load.seconds, 0, "of the run", nullptr},
-      {"copies", 0, POPT_ARG_INT, &load.copies, 0, "of each report", nullptr},
       POPT_AUTOHELP POPT_TABLEEND};
   poptContext context =
       poptGetContext("papayarack_resultbench", count, words, options.data(), 0);
@@ -388,6 +392,6 @@
     return 2;
   }
   poptFreeContext(context);
-  std::cout << papayarack::bench::Play(load).dump(2) << "\n";
+  std::cout << papayarack::bench::RunLoad(load).dump(2) << "\n";
   return 0;
 }
--- a/bench/tracemaker.cpp
+++ b/bench/tracemaker.cpp
@@ -8,25 +8,25 @@
 namespace papayarack::bench {
 namespace {
 
-constexpr double kBurstEverySeconds = 4.0;
+constexpr double kBurstIntervalSeconds = 4.0;
 constexpr double kBurstSeconds = 0.4;
 constexpr double kParetoShape = 2.2;
-constexpr std::uint32_t kMostTokens = 160;
-constexpr std::uint32_t kMostWords = 600;
+constexpr std::uint32_t kMaxTokens = 160;
+constexpr std::uint32_t kMaxWords = 600;
 
 /// A Pareto sample with the given mean.
-double HeavyTailed(std::mt19937_64& random, double mean) {
-  const double smallest = mean * (kParetoShape - 1) / kParetoShape;
+double SamplePareto(std::mt19937_64& random, double mean) {
+  const double minimum = mean * (kParetoShape - 1) / kParetoShape;
   std::uniform_real_distribution<double> uniform(1e-9, 1.0);
-  return smallest / std::pow(uniform(random), 1.0 / kParetoShape);
+  return minimum / std::pow(uniform(random), 1.0 / kParetoShape);
 }
 
 double RateAt(const TraceOptions& options, double at) {
   const double day =
       1 + options.swing * std::sin(2 * std::numbers::pi * at / options.seconds);
-  const bool burst = std::fmod(at, kBurstEverySeconds) < kBurstSeconds;
-  // The quiet part is lowered so that the mean stays what was asked for.
-  const double share = kBurstSeconds / kBurstEverySeconds;
+  const bool burst = std::fmod(at, kBurstIntervalSeconds) < kBurstSeconds;
+  // Lowers the rate between bursts so that the mean is the requested rate.
+  const double share = kBurstSeconds / kBurstIntervalSeconds;
   const double quiet = (1 - share * options.burst) / (1 - share);
   return options.rate * day * (burst ? options.burst : std::max(0.1, quiet));
 }
@@ -40,7 +40,7 @@
   std::uniform_real_distribution<double> uniform(0.0, 1.0);
   std::vector<TraceRequest> trace;
   for (double at = gap(random); at < options.seconds; at += gap(random)) {
-    // Thinning of a process at the peak rate.
+    // Thins a Poisson process of the peak rate.
     if (uniform(random) > RateAt(options, at) / peak) {
       continue;
     }
@@ -49,10 +49,10 @@
     const double skewed = std::pow(uniform(random), 2.0);
     request.prefix = static_cast<int>(skewed * options.prefixes);
     request.tokens = std::clamp<std::uint32_t>(
-        static_cast<std::uint32_t>(HeavyTailed(random, options.mean_tokens)), 1,
-        kMostTokens);
+        static_cast<std::uint32_t>(SamplePareto(random, options.mean_tokens)),
+        1, kMaxTokens);
     request.prompt_words = std::clamp<std::uint32_t>(
-        static_cast<std::uint32_t>(HeavyTailed(random, 60)), 4, kMostWords);
+        static_cast<std::uint32_t>(SamplePareto(random, 60)), 4, kMaxWords);
     trace.push_back(request);
   }
   return trace;
--- a/bench/tracemaker.h
+++ b/bench/tracemaker.h
@@ -7,18 +7,18 @@
 
 namespace papayarack::bench {
 
-/// How the online requests of a run come.
+/// Parameters of the online requests of a run.
 struct TraceOptions {
-  double rate = 20;         ///< Mean requests a second.
+  double rate = 20;         ///< Mean requests per second.
   double seconds = 20;      ///< Length of the run.
-  double burst = 3;         ///< Rate of a burst over the mean.
-  double swing = 0.3;       ///< The day's shape: rate times 1 +- swing.
+  double burst = 3;         ///< Burst rate as a multiple of the mean.
+  double swing = 0.3;       ///< Daily variation: rate times 1 +- swing.
   int prefixes = 20;        ///< Shared prompt prefixes, the first most common.
-  double mean_tokens = 16;  ///< Answer tokens; heavy-tailed.
+  double mean_tokens = 16;  ///< Response tokens; heavy-tailed.
   std::uint64_t seed = 1;
 };
 
-/// One request of a trace.
+/// A request of a trace.
 struct TraceRequest {
   double at = 0;  ///< Seconds from the start.
   int prefix = 0;
@@ -26,8 +26,8 @@
   std::uint32_t prompt_words = 1;
 };
 
-/// A trace, the same for the same options: a Poisson process whose rate swings
-/// like a day and jumps in bursts, with Pareto sizes and shared prefixes.
+/// Generates a trace, deterministic for given options: a Poisson process whose
+/// rate varies over a day and in bursts, with Pareto sizes and shared prefixes.
 std::vector<TraceRequest> MakeTrace(const TraceOptions& options);
 
 }  // namespace papayarack::bench
