--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -1,5 +1,5 @@
-// A stand-in for a model engine: speaks the engines' published HTTP API, never
-// installed.
+// A stand-in for a model engine that implements the engines' published HTTP
+// API. For tests only; not installed.
 #include <httplib.h>
 #include <popt.h>
 #include <unistd.h>
@@ -55,7 +55,7 @@
   return "data: " + event.dump() + "\n\n";
 }
 
-/// Adds everything that the engine answers to.
+/// Registers the HTTP handlers of the engine.
 class EngineApi {
  public:
   EngineApi(httplib::Server& server, EngineModel& model) : model(model) {
@@ -92,41 +92,45 @@
         "max_tokens", kFewestTokens + static_cast<std::uint32_t>(
                                           Hash64(prompt) % kTokenSpread));
     const std::string id = request.get_header_value("X-Request-Id");
-    const auto inside = this->model.Submit(id, prompt, wanted, resume_at);
+    const auto engine_request =
+        this->model.Submit(id, prompt, wanted, resume_at);
     if (body.value("stream", false)) {
-      this->Stream(response, inside, chat);
+      this->RespondStream(response, engine_request, chat);
     } else {
-      this->Whole(response, inside, chat);
+      this->RespondComplete(response, engine_request, chat);
     }
   }
 
-  void Stream(httplib::Response& response,
-              const std::shared_ptr<EngineRequest>& inside, bool chat) {
+  void RespondStream(httplib::Response& response,
+                     const std::shared_ptr<EngineRequest>& engine_request,
+                     bool chat) {
     response.set_chunked_content_provider(
         "text/event-stream",
-        [this, inside, chat](std::size_t, httplib::DataSink& sink) {
+        [this, engine_request, chat](std::size_t, httplib::DataSink& sink) {
           std::string token;
-          if (this->model.NextToken(*inside, token)) {
-            const std::string event = Event(inside->id, chat, token, nullptr);
+          if (this->model.NextToken(*engine_request, token)) {
+            const std::string event =
+                Event(engine_request->id, chat, token, nullptr);
             return sink.write(event.data(), event.size());
           }
-          if (inside->cancelled) {
+          if (engine_request->cancelled) {
             return false;
           }
           const std::string last =
-              Event(inside->id, chat, "", "stop") + "data: [DONE]\n\n";
+              Event(engine_request->id, chat, "", "stop") + "data: [DONE]\n\n";
           sink.write(last.data(), last.size());
           sink.done();
           return true;
         },
-        [this, inside](bool) { this->model.Cancel(*inside); });
+        [this, engine_request](bool) { this->model.Cancel(*engine_request); });
   }
 
-  void Whole(httplib::Response& response,
-             const std::shared_ptr<EngineRequest>& inside, bool chat) {
+  void RespondComplete(httplib::Response& response,
+                       const std::shared_ptr<EngineRequest>& engine_request,
+                       bool chat) {
     std::string text;
     std::string token;
-    while (this->model.NextToken(*inside, token)) {
+    while (this->model.NextToken(*engine_request, token)) {
       text += token;
     }
     nlohmann::json choice = {{"index", 0}, {"finish_reason", "stop"}};
@@ -136,8 +140,8 @@
       choice["text"] = text;
     }
     response.set_content(
-        nlohmann::json(
-            {{"id", inside->id}, {"choices", nlohmann::json::array({choice})}})
+        nlohmann::json({{"id", engine_request->id},
+                        {"choices", nlohmann::json::array({choice})}})
             .dump(),
         "application/json");
   }
@@ -207,16 +211,16 @@
   poptOption table[] = {
       {"listen", 'l', POPT_ARG_STRING, &listen_text, 0, "address to listen on",
        "HOST:PORT"},
-      {"slots", 0, POPT_ARG_INT, &slots, 0, "requests that run at once", "N"},
-      {"base-ms", 0, POPT_ARG_DOUBLE, &options.base_ms, 0, "time of one step",
-       "MS"},
+      {"slots", 0, POPT_ARG_INT, &slots, 0, "maximum concurrent requests", "N"},
+      {"base-ms", 0, POPT_ARG_DOUBLE, &options.base_ms, 0,
+       "duration of a decoding step", "MS"},
       {"knee", 0, POPT_ARG_DOUBLE, &options.knee, 0,
-       "streams until steps grow longer", "N"},
+       "running streams above which steps take longer", "N"},
       {"prefill-us", 0, POPT_ARG_DOUBLE, &options.prefill_us_per_token, 0,
-       "time of one prompt token", "US"},
-      {"seed", 0, POPT_ARG_INT, &seed, 0, "seed of what is random", "N"},
+       "prefill time per prompt token", "US"},
+      {"seed", 0, POPT_ARG_INT, &seed, 0, "random seed", "N"},
       {"ignore-fencing", 0, POPT_ARG_NONE, &ignore_fencing, 0,
-       "take orders of any number", nullptr},
+       "accept orders with any fencing number", nullptr},
       POPT_AUTOHELP POPT_TABLEEND};
   poptContext context = poptGetContext("standin_engine", argc, argv, table, 0);
   const int parsed = poptGetNextOpt(context);
--- a/standins/enginemodel.h
+++ b/standins/enginemodel.h
@@ -18,8 +18,8 @@
 
 namespace papayarack::standins {
 
-/// How the stand-in behaves. The time of one step is base * max(1, running /
-/// knee) plus the prompt tokens of newly admitted requests: flat while
+/// Behaviour of the stand-in engine. A step takes base * max(1, running / knee)
+/// plus the prefill time of newly admitted prompts: constant while
 /// memory-bound, then growing.
 struct EngineOptions {
   std::size_t slots = 64;
@@ -31,20 +31,20 @@
   bool checks_fencing = true;
 };
 
-/// One request inside the engine.
+/// A request in the engine.
 struct EngineRequest {
   std::string id;
   std::uint32_t prompt_tokens = 0;
   std::uint64_t prompt_hash = 0;
-  std::uint32_t produced = 0;  ///< Counts from where a resumed stream goes on.
+  std::uint32_t produced = 0;  ///< Includes the tokens before a resume.
   std::uint32_t wanted = 0;
   std::uint32_t delivered = 0;
   bool cancelled = false;
-  bool muted = false;  ///< Its connection has fallen silent for good.
+  bool muted = false;  ///< Never sends another token.
 };
 
-/// Continuous batching in real time, with a limited prefix cache and no
-/// priorities. Thread safety: every method, any thread.
+/// Simulates continuous batching in real time, with a bounded prefix cache and
+/// no priorities. Thread safety: every method, any thread.
 class EngineModel {
  public:
   explicit EngineModel(const EngineOptions& options);
@@ -55,22 +55,22 @@
   std::shared_ptr<EngineRequest> Submit(std::string id, std::string_view prompt,
                                         std::uint32_t wanted,
                                         std::uint32_t resume_at);
-  /// Waits for the next token. False at the end, or when cancelled. A muted
-  /// request never ends.
+  /// Waits for the next token. False at the end, or when cancelled. Blocks on a
+  /// muted request until it is cancelled.
   bool NextToken(EngineRequest& request, std::string& token);
   void Cancel(EngineRequest& request);
-  std::string LoadReport();  ///< JSON; half a second old.
+  std::string LoadReport();  ///< JSON; delayed by half a second.
   std::string CacheEvents(
-      std::uint64_t since);  ///< JSON; some events are missing.
-  std::string Counts();      ///< JSON; runs and tokens so far.
-  /// Takes an order. False when it carries an older fencing number and the
-  /// engine checks.
+      std::uint64_t since);  ///< JSON; some events are dropped.
+  std::string Counts();      ///< JSON; total runs and tokens.
+  /// Accepts an order. False if its fencing number is outdated and
+  /// checks_fencing is set.
   bool Order(const std::string& what, std::uint64_t fence);
-  std::string Orders();  ///< JSON: the orders in force.
+  std::string Orders();  ///< JSON: the accepted orders.
   std::string ExportCache(std::uint64_t prompt_hash);
   void ImportCache(const std::string& bytes);
   void SetSlow(double factor);
-  void MuteAll();  ///< Requests of this moment fall silent.
+  void MuteAll();  ///< Mutes the running requests.
 
  private:
   void Run();
--- a/standins/fleet/standinengine.cpp
+++ b/standins/fleet/standinengine.cpp
@@ -9,7 +9,7 @@
 namespace papayarack::standins {
 namespace {
 
-constexpr std::size_t kPage = 2;
+constexpr std::size_t kPageSize = 2;
 constexpr int kMisdirected = 421;
 constexpr int kServiceUnavailable = 503;
 
@@ -45,7 +45,7 @@
   this->down_time = down_for;
 }
 
-bool StandInEngine::RunsCrasher() const {
+bool StandInEngine::RunsCrashingRequest() const {
   constexpr std::uint64_t kEventsBefore = 2;
   return std::ranges::any_of(this->running, [this](const auto& entry) {
     const Run& run = entry.second;
@@ -64,7 +64,7 @@
     }
     constexpr std::uint64_t kLater = 1000;
     this->options.started_ms += kLater;
-    if (this->renames) {
+    if (this->changes_id) {
       this->options.id += "-again";
     }
     this->Listen();
@@ -73,8 +73,8 @@
 
 StandInEngine::~StandInEngine() { *this->alive = false; }
 
-std::string StandInEngine::TextOf(const std::string& path,
-                                  std::uint64_t events) {
+std::string StandInEngine::ExpectedText(const std::string& path,
+                                        std::uint64_t events) {
   std::string text;
   for (std::uint64_t i = 1; i <= events; ++i) {
     text += i == 1 ? "" : "\n";
@@ -90,13 +90,13 @@
   this->server->Respond(exchange, response);
 }
 
-void StandInEngine::GoDark() {
-  this->dark = true;
+void StandInEngine::StopResponding() {
+  this->unresponsive = true;
   this->running.clear();
 }
 
-void StandInEngine::StartAgain(std::uint64_t started_ms) {
-  this->dark = false;
+void StandInEngine::Restart(std::uint64_t started_ms) {
+  this->unresponsive = false;
   this->running.clear();
   this->options.started_ms = started_ms;
 }
@@ -124,7 +124,7 @@
 
 void StandInEngine::OnRequest(http::ExchangeId exchange,
                               const http::HttpRequest& request) {
-  if (this->dark) {
+  if (this->unresponsive) {
     return;
   }
   if (request.Path() == "/report") {
@@ -159,33 +159,34 @@
                            {"Response-Seal", "seal-" + id}};
   this->server->BeginStream(exchange, 200, headers);
   this->running.emplace(exchange, std::move(run));
-  this->most_running =
-      std::max<std::uint64_t>(this->most_running, this->running.size());
+  this->max_running =
+      std::max<std::uint64_t>(this->max_running, this->running.size());
 }
 
-void StandInEngine::NoteOverfull() {
+void StandInEngine::TrackOverload() {
   if (this->running.size() <= this->options.slots) {
-    this->over_since = {};
+    this->overloaded_since = {};
     return;
   }
   const Time now = MonotonicNow();
-  if (this->over_since == Time{}) {
-    this->over_since = now;
+  if (this->overloaded_since == Time{}) {
+    this->overloaded_since = now;
   }
-  this->longest_over = std::max(this->longest_over, now - this->over_since);
+  this->longest_overload_time =
+      std::max(this->longest_overload_time, now - this->overloaded_since);
 }
 
-/// One step makes one event of every run, as a batching engine does.
+/// Each step produces one event of every run, like a batching engine.
 void StandInEngine::Step() {
   this->timer.expires_after(this->options.event_time);
   this->timer.async_wait([this, alive = this->alive](std::error_code error) {
     if (error || !*alive) {
       return;
     }
-    if (this->RunsCrasher()) {
+    if (this->RunsCrashingRequest()) {
       this->Crash();
     }
-    this->NoteOverfull();
+    this->TrackOverload();
     std::vector<http::ExchangeId> ended;
     for (auto& [exchange, run] : this->running) {
       if (run.next > this->options.events) {
@@ -193,7 +194,7 @@
         this->server->EndStream(exchange);
         ended.push_back(exchange);
       } else if (run.cut && run.next > this->options.events / 2) {
-        // A part of an event is left behind, as a crash does.
+        // Sends part of an event, as a crash in mid-event would.
         this->server->Write(exchange, "id: 9");
         this->server->Abort(exchange);
         ended.push_back(exchange);
@@ -249,7 +250,7 @@
   nlohmann::json page = {{"Instances", nlohmann::json::array()},
                          {"Next", nullptr}};
   for (std::size_t i = first; i < this->engines.size(); ++i) {
-    if (i == first + kPage) {
+    if (i == first + kPageSize) {
       page["Next"] = std::to_string(i);
       break;
     }
--- a/standins/fleet/standinfleet.cpp
+++ b/standins/fleet/standinfleet.cpp
@@ -8,7 +8,7 @@
 #include "global/jsonschema.h"
 #include "global/resultcode.h"
 
-/// Runs stand-in engines and their list in one process until it is killed.
+/// Runs stand-in engines and their replica list in one process until killed.
 /// Usage: standin_fleet FILE, where FILE is
 /// {"list":"host:port","engines":[{"id":"","service":"","address":"host:port",
 /// "slots":8,"events":20,"event_ms":5}]}
--- a/standins/plain.cpp
+++ b/standins/plain.cpp
@@ -1,5 +1,5 @@
-// A stand-in for a plain service: counts its calls by request id, never
-// installed.
+// A stand-in for a plain HTTP service that counts its calls by request id. For
+// tests only; not installed.
 #include <httplib.h>
 #include <popt.h>
 
@@ -15,7 +15,7 @@
 namespace papayarack::standins {
 namespace {
 
-/// Calls so far, by request id and by the body's "key".
+/// Number of calls by request id and by the body's "key".
 struct CallCounts {
   std::mutex mutex;
   std::map<std::string, int> by_id;
@@ -25,11 +25,11 @@
 int Main(int argc, const char** argv) {
   char* listen_text = nullptr;
   int latency_ms = 5;
-  poptOption table[] = {
-      {"listen", 'l', POPT_ARG_STRING, &listen_text, 0, "address to listen on",
-       "HOST:PORT"},
-      {"latency-ms", 0, POPT_ARG_INT, &latency_ms, 0, "time of one call", "MS"},
-      POPT_AUTOHELP POPT_TABLEEND};
+  poptOption table[] = {{"listen", 'l', POPT_ARG_STRING, &listen_text, 0,
+                         "address to listen on", "HOST:PORT"},
+                        {"latency-ms", 0, POPT_ARG_INT, &latency_ms, 0,
+                         "duration of a call", "MS"},
+                        POPT_AUTOHELP POPT_TABLEEND};
   poptContext context = poptGetContext("standin_plain", argc, argv, table, 0);
   const int parsed = poptGetNextOpt(context);
   poptFreeContext(context);
