--- a/bench/resultbench.cpp
+++ b/bench/resultbench.cpp
@@ -114,7 +114,7 @@
     batches::BatchStoreOptions options;
     options.member = this->id;
     options.address = this->Address();
-    options.losses_borne = kMembers / 2;
+    options.tolerated_losses = kMembers / 2;
     options.random_seed = this->id;
     this->store = std::make_unique<batches::BatchStore>(
         this->context, *this->files, options, this->peers, this->server,
--- a/src/batches/batchstore.h
+++ b/src/batches/batchstore.h
@@ -21,7 +21,7 @@
 struct BatchStoreOptions {
   consensus::MemberId member = 0;
   std::string address;
-  std::size_t losses_borne = 1;
+  std::size_t tolerated_losses = 1;
   /// How long a batch stays readable after its submission, once it is finished.
   std::chrono::milliseconds retention{120000};
   std::uint64_t random_seed = 1;
@@ -57,7 +57,7 @@
   /// the group.
   void OnFleet(const coordination::FleetKnowledge& fleet);
   void OnRoutes(routes::RouteTablePtr table);
-  void HandOver();
+  void TransferLeadership();
 
  private:
   using StreamId = transport::StreamId;
--- a/src/batches/internal/batchstore.cpp
+++ b/src/batches/internal/batchstore.cpp
@@ -145,9 +145,9 @@
   }
 }
 
-void BatchStore::HandOver() {
+void BatchStore::TransferLeadership() {
   if (this->group != nullptr) {
-    this->group->HandOver();
+    this->group->TransferLeadership();
   }
 }
 
@@ -187,7 +187,7 @@
     this->next_tasks = now + kTaskInterval;
     this->leases.Expire(now);
     this->group->RepairMembership(this->candidates, this->leaving_addresses,
-                                  {2 * this->options.losses_borne + 1, 0});
+                                  {2 * this->options.tolerated_losses + 1, 0});
     std::vector<std::string> addresses;
     for (const consensus::Member& member : this->group->members().members) {
       addresses.push_back(member.address);
@@ -389,7 +389,7 @@
     Log(LogLevel::kError, "result_unreadable",
         {{"batch", reader.query.id}, {"text", error.what()}});
     this->Reply(stream, ResultCode::kStorageDamaged);
-    this->group->HandOver();
+    this->group->TransferLeadership();
     return;
   }
   if (page.has_value()) {
--- a/src/consensus/internal/raftcore.cpp
+++ b/src/consensus/internal/raftcore.cpp
@@ -42,7 +42,7 @@
       commit_index(snapshot.index),
       applied_index(snapshot.index),
       now(now),
-      last_leader_contact(now - options.election),
+      last_leader_contact(now - options.election_timeout),
       random(options.seed) {
   for (Entry& entry : entries) {
     this->raft_log.Append(std::move(entry));
@@ -57,7 +57,7 @@
 }
 
 void RaftCore::ResetElectionTimer() {
-  this->ResetElectionTimer(this->options.election);
+  this->ResetElectionTimer(this->options.election_timeout);
 }
 
 void RaftCore::ResetElectionTimer(Duration least) {
@@ -141,7 +141,7 @@
 void RaftCore::CheckQuorum() {
   std::set<MemberId> heard = {this->options.self};
   for (const auto& [id, peer] : this->progress) {
-    if (this->now - peer.last_heard < this->options.election) {
+    if (this->now - peer.last_heard < this->options.election_timeout) {
       heard.insert(id);
     }
   }
@@ -195,8 +195,8 @@
 bool RaftCore::HeardFromLeaderRecently() const {
   const bool leads = this->current_role == RaftRole::kLeader;
   return leads ||
-         (this->leader_id != 0 &&
-          this->now - this->last_leader_contact < this->options.election);
+         (this->leader_id != 0 && this->now - this->last_leader_contact <
+                                      this->options.election_timeout);
 }
 
 void RaftCore::OnVoteRequest(const RaftMessage& message,
@@ -539,7 +539,7 @@
 
 void RaftCore::BroadcastAppend(bool heartbeat) {
   if (heartbeat) {
-    this->heartbeat_due = this->now + this->options.heartbeat;
+    this->heartbeat_due = this->now + this->options.heartbeat_interval;
     ++this->read_round;
   }
   std::vector<MemberId> targets;
@@ -564,7 +564,7 @@
 void RaftCore::ResendOnTimeout(Progress& peer) {
   const bool outstanding = peer.match + 1 < peer.next;
   const Duration first_wait =
-      2 * this->options.heartbeat + TransferTime(peer.inflight_bytes);
+      2 * this->options.heartbeat_interval + TransferTime(peer.inflight_bytes);
   const Duration wait = std::clamp<Duration>(first_wait, peer.resend_delay,
                                              this->options.max_resend_delay);
   if (!outstanding || this->now - peer.last_progress < wait) {
@@ -670,7 +670,7 @@
     return;
   }
   Progress& peer = found->second;
-  if (this->now - peer.last_heard >= this->options.election) {
+  if (this->now - peer.last_heard >= this->options.election_timeout) {
     // The member was unreachable and is back: what was sent meanwhile is lost,
     // and the grown delay belongs to a connection that is gone. On a slow link
     // responses are late but have no such gaps.
@@ -773,7 +773,8 @@
   }
   MemberId best = 0;
   for (const auto& [id, peer] : this->progress) {
-    const bool alive = this->now - peer.last_heard < this->options.election;
+    const bool alive =
+        this->now - peer.last_heard < this->options.election_timeout;
     if (alive && this->member_list.IsVoter(id) &&
         (best == 0 || peer.match > this->MatchOf(best))) {
       best = id;
@@ -783,7 +784,7 @@
     return;
   }
   this->transfer_to = best;
-  this->transfer_until = this->now + this->options.election;
+  this->transfer_until = this->now + this->options.election_timeout;
   if (this->MatchOf(best) == this->raft_log.LastIndex()) {
     this->Send(best, TimeoutNow{}, false);
   }
--- a/src/consensus/raftcore.h
+++ b/src/consensus/raftcore.h
@@ -22,9 +22,9 @@
 struct RaftOptions {
   GroupId group = 0;
   MemberId self = 0;
-  Duration heartbeat{std::chrono::milliseconds(100)};
-  /// Election timeout; randomised between this and twice this.
-  Duration election{std::chrono::milliseconds(600)};
+  Duration heartbeat_interval{std::chrono::milliseconds(100)};
+  /// Randomised between this and twice this.
+  Duration election_timeout{std::chrono::milliseconds(600)};
   /// The election timeout until the first election after a start. If all
   /// members were killed at once there is no leader, and callers wait this
   /// long. A leader that is still active is not disturbed, because its
--- a/src/consensus/tests/raftcore_tests.cpp
+++ b/src/consensus/tests/raftcore_tests.cpp
@@ -300,7 +300,7 @@
   old.index = 1;
   old.kind = static_cast<std::uint8_t>(EntryKind::kCommand);
   RaftCore core(options, {2, 0}, first, {old}, Time{});
-  const Time late = Time{} + 2 * options.election + kMillisecond;
+  const Time late = Time{} + 2 * options.election_timeout + kMillisecond;
   core.Tick(late);
   core.Step({0, 2, 1, 3, VoteResponse{true, true}}, late);
   core.Step({0, 2, 1, 3, VoteResponse{false, true}}, late);
@@ -413,7 +413,7 @@
   old.kind = static_cast<std::uint8_t>(EntryKind::kCommand);
   old.payload = std::string(1000, 'c');
   RaftCore core(options, {2, 0}, first, {old}, Time{});
-  const Time late = Time{} + 2 * options.election + kMillisecond;
+  const Time late = Time{} + 2 * options.election_timeout + kMillisecond;
   core.Tick(late);
   core.Step({0, 2, 1, 3, VoteResponse{true, true}}, late);
   core.Step({0, 2, 1, 3, VoteResponse{false, true}}, late);
@@ -429,10 +429,10 @@
     return sent;
   };
   CHECK(old_entries_sent() == 0);
-  core.Tick(late + options.heartbeat);
+  core.Tick(late + options.heartbeat_interval);
   CHECK(old_entries_sent() == 0);
   // To both followers, as the first entry may be lost.
-  core.Tick(late + 2 * options.heartbeat);
+  core.Tick(late + 2 * options.heartbeat_interval);
   CHECK(old_entries_sent() == 2);
 }
 
@@ -448,7 +448,7 @@
   SnapshotMeta first;
   first.members.members = {{1, "m1", true}, {2, "m2", true}, {3, "m3", true}};
   RaftCore core(options, {2, 0}, first, {}, Time{});
-  const Time late = Time{} + 2 * options.election + kMillisecond;
+  const Time late = Time{} + 2 * options.election_timeout + kMillisecond;
   core.Tick(late);
   core.Step({0, 2, 1, 3, VoteResponse{true, true}}, late);
   core.Step({0, 2, 1, 3, VoteResponse{false, true}}, late);
@@ -479,19 +479,19 @@
   CHECK(sent.front().prev_index == 1);
 
   SECTION("and it is sent again if it was lost too") {
-    const Time again = late + 2 * options.heartbeat +
+    const Time again = late + 2 * options.heartbeat_interval +
                        TransferTime(sent.front().entries.size() * kEntryBytes);
     std::size_t entries_sent = 0;
     Time now = late;
-    while (now + options.heartbeat < again) {
-      now += options.heartbeat;
+    while (now + options.heartbeat_interval < again) {
+      now += options.heartbeat_interval;
       core.Tick(now);
       core.Step({0, 2, 1, 3, AppendResponse{true, 1, 0}}, now);
       take_sent();
       entries_sent += sent.empty() ? 0 : sent.back().entries.size();
     }
     CHECK(entries_sent == 0);
-    core.Tick(now + options.heartbeat);
+    core.Tick(now + options.heartbeat_interval);
     take_sent();
     REQUIRE(!sent.empty());
     CHECK_FALSE(sent.back().entries.empty());
@@ -519,7 +519,7 @@
   }
   const std::size_t bound = std::max(options.max_inflight_bytes, entry_bytes);
   RaftCore core(options, {2, 0}, first, {}, Time{});
-  const Time late = Time{} + 2 * options.election + kMillisecond;
+  const Time late = Time{} + 2 * options.election_timeout + kMillisecond;
   core.Tick(late);
   core.Step({0, 2, 1, 3, VoteResponse{true, true}}, late);
   core.Step({0, 2, 1, 3, VoteResponse{false, true}}, late);
@@ -551,7 +551,7 @@
   CHECK(bytes_under_way <= bound);
   CHECK(bytes_under_way + entry_bytes > options.max_inflight_bytes);
   // A heartbeat resends nothing before the wait for an acknowledgement is over.
-  core.Tick(late + options.heartbeat);
+  core.Tick(late + options.heartbeat_interval);
   take_sent();
   CHECK(bytes_under_way <= bound);
 
@@ -564,7 +564,7 @@
     bytes_under_way -= bytes_of(append);
     acknowledged = append.prev_index + append.entries.size();
     core.Step({0, 2, 1, 3, AppendResponse{true, acknowledged, 0}},
-              late + options.heartbeat);
+              late + options.heartbeat_interval);
     take_sent();
     CHECK(bytes_under_way <= bound);
     const bool more_to_send =
--- a/src/control/internal/controlserver.cpp
+++ b/src/control/internal/controlserver.cpp
@@ -90,8 +90,8 @@
     consensus::RaftOptions options;
     options.group = kGroup;
     options.self = identity->member;
-    options.heartbeat = settings.heartbeat / 5;
-    options.election = settings.election;
+    options.heartbeat_interval = settings.heartbeat / 5;
+    options.election_timeout = settings.election;
     options.seed = Hash64(settings.name, identity->member);
     this->group = std::make_unique<GroupMember>(
         *this->files, options, this->Handlers(), MonotonicNow());
--- a/src/coordination/coordinator.h
+++ b/src/coordination/coordinator.h
@@ -35,7 +35,8 @@
   consensus::MemberId member = 0;
   bool has_disk = false;  ///< False if the group is kept in memory.
   std::string address;
-  std::size_t losses_borne = 1;  ///< VMs with a disk that may be lost at once.
+  /// VMs with a disk that may be lost at once.
+  std::size_t tolerated_losses = 1;
   std::uint64_t random_seed = 1;
   /// The current seed addresses in this process's settings.
   std::function<std::vector<std::string>()> seeds;
@@ -67,7 +68,7 @@
   Coordinator(const Coordinator&) = delete;
   Coordinator& operator=(const Coordinator&) = delete;
 
-  void HandOver() { this->group->HandOver(); }
+  void TransferLeadership() { this->group->TransferLeadership(); }
   bool Leads() const { return this->group->Leads(); }
 
  private:
--- a/src/coordination/internal/coordinator.cpp
+++ b/src/coordination/internal/coordinator.cpp
@@ -178,7 +178,7 @@
     this->group->RepairMembership(
         CoordinationCandidates(this->nodes.WithRole(NodeRole::kEntry),
                                this->options.has_disk),
-        {}, {2 * this->options.losses_borne + 1, kMaxCoordinators});
+        {}, {2 * this->options.tolerated_losses + 1, kMaxCoordinators});
     this->FoundJobGroupWhenReady(now);
   }
   this->PollEngines(now);
@@ -204,7 +204,7 @@
   }
   const std::vector<NodeReport> stores = this->nodes.WithRole(NodeRole::kStore);
   const std::optional<consensus::MemberList> founders =
-      ChooseFounders(stores, 2 * this->options.losses_borne + 1,
+      ChooseFounders(stores, 2 * this->options.tolerated_losses + 1,
                      now - this->led_since >= kFoundersTimeout);
   if (!founders.has_value()) {
     return;
@@ -584,7 +584,7 @@
     return;
   }
   if (this->StoresLeftWithout(command.name) <
-      2 * this->options.losses_borne + 1) {
+      2 * this->options.tolerated_losses + 1) {
     this->Reply(stream, ResultCode::kConflict);
     return;
   }
--- a/src/coordination/quarantinetracker.h
+++ b/src/coordination/quarantinetracker.h
@@ -26,7 +26,7 @@
   void AddTo(const WatchRequest& request, WatchReply& reply) const;
 
  private:
-  quarantine::CrashTracker ledger;
+  quarantine::CrashTracker crash_tracker;
 };
 
 }  // namespace papayarack::coordination
--- a/src/nodes/batchrunner.h
+++ b/src/nodes/batchrunner.h
@@ -62,7 +62,7 @@
 
   BatchRunner(RunnerTarget target, const Dialect& dialect,
               http::HttpClient& engine, coordination::GroupClient& jobs,
-              slots::SlotAllocator& desk);
+              slots::SlotAllocator& allocator);
   ~BatchRunner();
   BatchRunner(const BatchRunner&) = delete;
   BatchRunner& operator=(const BatchRunner&) = delete;
@@ -160,7 +160,7 @@
   const Dialect& dialect;
   http::HttpClient& engine;
   coordination::GroupClient& jobs;
-  slots::SlotAllocator& desk;
+  slots::SlotAllocator& allocator;
   routes::RouteTablePtr table;
   std::string engine_id;
   std::map<RunId, Run> runs;
--- a/src/nodes/crashdetector.h
+++ b/src/nodes/crashdetector.h
@@ -52,7 +52,8 @@
   asio::io_context& context;
   coordination::FleetWatch& watch;
   quarantine::RecentSurvivals survivals;
-  quarantine::CrashTracker local_ledger;  ///< From this entry's reports only.
+  /// From this entry's reports only.
+  quarantine::CrashTracker local_crash_tracker;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/nodes/engineowner.h
+++ b/src/nodes/engineowner.h
@@ -80,7 +80,7 @@
   Duration ReportInterval() const;
   void OnReport(const std::string& body);
   void ReportFailed();
-  /// Opens or closes desk and runner according to the state of the engine.
+  /// Opens or closes allocator and runner according to the state of the engine.
   void UpdateAvailability();
   void ApplyListing(const coordination::EngineInstance& listed);
   void LearnStart(std::uint64_t started_ms);
@@ -88,7 +88,7 @@
 
   NodeRuntime& runtime;
   OwnedEngine owned;
-  slots::SlotAllocator desk;
+  slots::SlotAllocator allocator;
   http::HttpClient client;  ///< To the engine.
   BatchRunner runner;
   std::map<transport::StreamId, Ticket> tickets;
@@ -98,7 +98,7 @@
   std::uint64_t started_ms = 0;  ///< As in EngineInstance.
   Time next_report{};
   std::optional<http::HttpCallId> report_call;  ///< In flight.
-  slots::EngineHealth pulse;
+  slots::EngineHealth health;
   bool engine_up = true;  ///< As last logged.
   slots::ForeignRuns foreign;
   LogThrottle report_problems;
--- a/src/nodes/internal/batchrunner.cpp
+++ b/src/nodes/internal/batchrunner.cpp
@@ -46,12 +46,12 @@
 BatchRunner::BatchRunner(RunnerTarget target, const Dialect& dialect,
                          http::HttpClient& engine,
                          coordination::GroupClient& jobs,
-                         slots::SlotAllocator& desk)
+                         slots::SlotAllocator& allocator)
     : target(std::move(target)),
       dialect(dialect),
       engine(engine),
       jobs(jobs),
-      desk(desk),
+      allocator(allocator),
       events_per_item(kInitialEventsPerItem),
       ms_per_event(kInitialMsPerEvent) {}
 
@@ -107,7 +107,7 @@
   const auto paused = static_cast<std::uint32_t>(std::ranges::count_if(
       this->runs,
       [](const auto& entry) { return entry.second.phase == Phase::kPaused; }));
-  const std::uint32_t room = this->desk.FreeBatchSlots();
+  const std::uint32_t room = this->allocator.FreeBatchSlots();
   return room > paused ? room - paused : 0;
 }
 
@@ -284,7 +284,7 @@
 }
 
 void BatchRunner::Balance() {
-  while (this->desk.BatchToPreempt() > 0) {
+  while (this->allocator.BatchToPreempt() > 0) {
     this->PreemptOne();
   }
   this->StartNext();
@@ -303,7 +303,7 @@
     }
   }
   if (victim == nullptr) {
-    this->desk.EndBatch();  // Nothing runs: corrects the count.
+    this->allocator.EndBatch();  // Nothing runs: corrects the count.
     return;
   }
   this->Pause(*victim);
@@ -318,12 +318,12 @@
   run.phase = Phase::kPaused;
   run.since = MonotonicNow();
   run.splitter.Clear();
-  this->desk.EndBatch();
+  this->allocator.EndBatch();
 }
 
 void BatchRunner::StartNext() {
   const Time now = MonotonicNow();
-  while (this->desk.FreeBatchSlots() > 0 && !this->stopping &&
+  while (this->allocator.FreeBatchSlots() > 0 && !this->stopping &&
          !this->engine_id.empty() && this->table != nullptr) {
     // Least slack first, late ones last.
     RunId best = 0;
@@ -372,7 +372,7 @@
   run.last_heard = run.since;
   run.first_event = run.last_event;
   run.splitter.Clear();
-  this->desk.StartBatch();
+  this->allocator.StartBatch();
   http::HttpCallHandlers handlers;
   handlers.on_head = [this, id](const http::HttpHead& head) {
     this->OnHead(id, head);
@@ -459,7 +459,7 @@
     run.since = MonotonicNow();
     run.not_before = run.since + kRetryDelay;
     run.splitter.Clear();
-    this->desk.EndBatch();
+    this->allocator.EndBatch();
   }
   this->Balance();
 }
@@ -483,7 +483,7 @@
     this->UpdateEstimates(run);
     run.outcome.text = std::move(run.text);
   }
-  this->desk.EndBatch();
+  this->allocator.EndBatch();
   this->Report();
 }
 
--- a/src/nodes/internal/crashdetector.cpp
+++ b/src/nodes/internal/crashdetector.cpp
@@ -46,7 +46,7 @@
   const bool leader_heard =
       this->watch.knowledge().heard != Time{} &&
       MonotonicNow() - this->watch.knowledge().heard <= kMaxLeaderSilence;
-  return !leader_heard && this->local_ledger.Quarantined(request);
+  return !leader_heard && this->local_crash_tracker.Quarantined(request);
 }
 
 void CrashDetector::ConnectionBroke(const Fingerprint& request,
@@ -83,16 +83,16 @@
       {{"request", probe.id},
        {"fingerprint", probe.request.ToString()},
        {"replica", replica}});
-  this->local_ledger.Crashed({probe.request, replica, 0}, now);
-  this->local_ledger.Evaluate(now);
+  this->local_crash_tracker.Crashed({probe.request, replica, 0}, now);
+  this->local_crash_tracker.Evaluate(now);
   this->watch.ReportCrash(probe.request, replica);
 }
 
 void CrashDetector::Survived(const Fingerprint& request) {
   this->survivals.Add(request);
-  if (this->local_ledger.IsSuspect(request) ||
+  if (this->local_crash_tracker.IsSuspect(request) ||
       this->watch.crashes().Quarantined(request)) {
-    this->local_ledger.Survived(request, MonotonicNow());
+    this->local_crash_tracker.Survived(request, MonotonicNow());
     this->watch.ReportSurvival(request);
   }
 }
--- a/src/nodes/internal/engineowner.cpp
+++ b/src/nodes/internal/engineowner.cpp
@@ -41,7 +41,7 @@
       runner({this->owned.leaseholder,
               Hash64(this->owned.leaseholder, runtime.incarnation),
               this->owned.service, this->owned.address},
-             runtime.dialect, this->client, *runtime.jobs, this->desk),
+             runtime.dialect, this->client, *runtime.jobs, this->allocator),
       foreign(this->owned.same_vm ? slots::ReportAge::kFresh
                                   : slots::ReportAge::kLate) {}
 
@@ -66,7 +66,7 @@
          {"draining", found != nullptr && found->draining}});
     this->id = id;
   }
-  this->desk.SetSlots(present ? found->slots : 0);
+  this->allocator.SetSlots(present ? found->slots : 0);
   this->runner.SetRoutes(this->runtime.table);
   this->UpdateAvailability();
   if (present) {
@@ -84,7 +84,7 @@
 }
 
 void EngineOwner::UpdateAvailability() {
-  const bool up = this->pulse.Up();
+  const bool up = this->health.Up();
   if (up != this->engine_up) {
     this->engine_up = up;
     Log(up ? LogLevel::kInfo : LogLevel::kWarn, "engine_reachable",
@@ -96,7 +96,7 @@
   const bool knows_others = this->owned.same_vm || this->foreign.Known();
   const bool takes_work =
       up && knows_others && !this->leaving && !this->id.empty();
-  this->desk.SetOpen(takes_work);
+  this->allocator.SetOpen(takes_work);
   this->runner.SetEngine(takes_work ? this->id : std::string());
   if (!up) {
     this->runner.ReturnAll();
@@ -136,7 +136,7 @@
 /// themselves.
 void EngineOwner::OnEngineRestart() {
   this->foreign.Forget();
-  this->desk.SetForeign(0);
+  this->allocator.SetForeign(0);
   this->client.CloseIdle(ParseEndpoint(this->owned.address, "engine_address"));
   this->runner.EngineRestarted();
 }
@@ -156,14 +156,14 @@
   const Time now = MonotonicNow();
   const bool other_engine = this->id.empty() || ask.engine_id != this->id;
   const Ticket ticket{ask.request, asked, ask.wait_ms};
-  if (other_engine || !this->desk.Open()) {
+  if (other_engine || !this->allocator.Open()) {
     this->Answer(stream, ticket, SlotVerdict::kClosed);
     return;
   }
   this->tickets[stream] = ticket;
   const slots::SlotRequest request{
       stream, ask.priority, asked + std::chrono::milliseconds(ask.wait_ms)};
-  switch (this->desk.Acquire(request, now)) {
+  switch (this->allocator.Acquire(request, now)) {
     case slots::SlotAnswer::kGranted:
       this->Answer(stream, ticket, SlotVerdict::kGranted);
       this->runner.Balance();
@@ -179,7 +179,7 @@
 
 void EngineOwner::Answer(transport::StreamId stream, const Ticket& ticket,
                          SlotVerdict verdict) {
-  const slots::SlotLoad load = this->desk.Load();
+  const slots::SlotLoad load = this->allocator.Load();
   SlotReply reply;
   reply.verdict = static_cast<std::uint8_t>(verdict);
   reply.online = load.online;
@@ -187,7 +187,7 @@
   reply.batch = load.batch;
   reply.slots = load.slots;
   reply.expected_wait_ms =
-      static_cast<std::uint32_t>(this->desk.ExpectedWait().count() / 1000);
+      static_cast<std::uint32_t>(this->allocator.ExpectedWait().count() / 1000);
   reply.engine_started_ms = this->started_ms;
   Log(LogLevel::kInfo, "slot_answered",
       {{"request", ticket.request},
@@ -214,7 +214,7 @@
     return false;
   }
   const Time now = MonotonicNow();
-  this->desk.Release(stream, now);
+  this->allocator.Release(stream, now);
   this->ProcessQueues(now);
   return true;
 }
@@ -235,17 +235,17 @@
 
 void EngineOwner::ProcessQueues(Time now) {
   this->ProcessPending(now);
-  const slots::SlotLoad own = this->desk.Load();
+  const slots::SlotLoad own = this->allocator.Load();
   this->foreign.RecordHeld(own.online + own.batch);
-  for (const slots::TicketId stream : this->desk.TakeExpired(now)) {
+  for (const slots::TicketId stream : this->allocator.TakeExpired(now)) {
     const auto expired = this->tickets.extract(stream);
     if (!expired.empty()) {
       this->Answer(
           stream, expired.mapped(),
-          this->desk.Open() ? SlotVerdict::kBusy : SlotVerdict::kClosed);
+          this->allocator.Open() ? SlotVerdict::kBusy : SlotVerdict::kClosed);
     }
   }
-  for (const slots::TicketId stream : this->desk.TakeGranted(now)) {
+  for (const slots::TicketId stream : this->allocator.TakeGranted(now)) {
     const auto granted = this->tickets.find(stream);
     if (granted != this->tickets.end()) {
       this->Answer(stream, granted->second, SlotVerdict::kGranted);
@@ -271,20 +271,20 @@
 
 /// Requests a load report from the engine.
 void EngineOwner::RequestReport(Time now) {
-  if (this->report_call.has_value() && this->pulse.Overdue(now)) {
+  if (this->report_call.has_value() && this->health.Overdue(now)) {
     if (this->report_problems.Due("overdue", now)) {
       Log(LogLevel::kWarn, "engine_report_overdue", {{"engine", this->id}});
     }
     this->client.Cancel(*std::exchange(this->report_call, std::nullopt));
-    this->pulse.TimedOut();
+    this->health.TimedOut();
     this->UpdateAvailability();
   }
-  const bool due = now >= this->next_report || this->pulse.Suspected();
+  const bool due = now >= this->next_report || this->health.Suspected();
   if (this->report_call.has_value() || !due || this->id.empty()) {
     return;
   }
   this->next_report = now + this->ReportInterval();
-  this->pulse.Asked(now);
+  this->health.Asked(now);
   http::HttpCall call;
   call.peer = ParseEndpoint(this->owned.address, "engine_address");
   call.target = this->runtime.dialect.report_target;
@@ -304,13 +304,13 @@
 }
 
 void EngineOwner::ReportFailed() {
-  this->pulse.Failed();
+  this->health.Failed();
   this->UpdateAvailability();
   this->ProcessQueues(MonotonicNow());
 }
 
 void EngineOwner::OnReport(const std::string& body) {
-  this->pulse.Answered();
+  this->health.Answered();
   this->UpdateAvailability();
   EngineLoad load;
   try {
@@ -324,9 +324,9 @@
   }
   this->report_problems.Due({}, MonotonicNow());
   this->LearnStart(load.started_ms);
-  const slots::SlotLoad own = this->desk.Load();
-  this->desk.SetForeign(this->foreign.Reported(load.running + load.waiting,
-                                               own.online + own.batch));
+  const slots::SlotLoad own = this->allocator.Load();
+  this->allocator.SetForeign(this->foreign.Reported(load.running + load.waiting,
+                                                    own.online + own.batch));
   this->UpdateAvailability();
   this->ProcessQueues(MonotonicNow());
 }
@@ -337,14 +337,14 @@
   state.id = this->id;
   state.service = this->owned.service;
   state.same_vm = this->owned.same_vm;
-  state.open = this->desk.Open();
-  state.load = this->desk.Load();
+  state.open = this->allocator.Open();
+  state.load = this->allocator.Load();
   return state;
 }
 
 void EngineOwner::BeginLeave() {
   this->leaving = true;
-  this->desk.SetOpen(false);
+  this->allocator.SetOpen(false);
   this->ProcessQueues(MonotonicNow());
   this->runner.Stop();
 }
--- a/src/nodes/internal/entrynode.cpp
+++ b/src/nodes/internal/entrynode.cpp
@@ -51,7 +51,7 @@
   coordination::CoordinatorOptions options;
   options.member = this->runtime.member;
   options.address = this->runtime.options.peer_listen.ToString();
-  options.losses_borne = this->runtime.options.losses_borne;
+  options.tolerated_losses = this->runtime.options.tolerated_losses;
   options.random_seed = this->runtime.incarnation;
   options.has_disk = !this->runtime.options.data_folder.empty();
   options.seeds = [this] { return this->runtime.options.seeds; };
@@ -315,7 +315,7 @@
   this->host.BeginLeave();
   this->front->BeginLeave();
   if (this->coordinator != nullptr) {
-    this->coordinator->HandOver();
+    this->coordinator->TransferLeadership();
   }
 }
 
--- a/src/nodes/internal/noderuntime.cpp
+++ b/src/nodes/internal/noderuntime.cpp
@@ -191,7 +191,7 @@
   this->search_timer = std::make_unique<asio::steady_timer>(this->context);
   this->ScheduleLeaderSearch();
   this->backlog_timer = std::make_unique<asio::steady_timer>(this->context);
-  this->WatchBacklog();
+  this->CheckBacklog();
 }
 
 std::string NodeRuntime::QuarantineList() const {
@@ -222,7 +222,7 @@
   return this->metrics.Exposition();
 }
 
-void NodeRuntime::WatchBacklog() {
+void NodeRuntime::CheckBacklog() {
   this->backlog_timer->expires_after(kBacklogInterval);
   this->backlog_timer->async_wait([this](std::error_code error) {
     if (error) {
@@ -231,7 +231,7 @@
     this->backlog.Update(
         transport::TotalBacklog(this->server->Totals(), this->peers->Totals()),
         MonotonicNow());
-    this->WatchBacklog();
+    this->CheckBacklog();
   });
 }
 
--- a/src/nodes/internal/storenode.cpp
+++ b/src/nodes/internal/storenode.cpp
@@ -7,7 +7,7 @@
       store(
           runtime.context, *runtime.files,
           {runtime.member, runtime.options.peer_listen.ToString(),
-           runtime.options.losses_borne, runtime.options.batch_keep,
+           runtime.options.tolerated_losses, runtime.options.batch_keep,
            runtime.incarnation},
           *runtime.peers, runtime.server, runtime.dispatch,
           [this](std::vector<std::string> members, std::uint64_t term) {
--- a/src/nodes/nodeoptions.h
+++ b/src/nodes/nodeoptions.h
@@ -23,7 +23,7 @@
   std::vector<std::string> seeds;
   /// True only when the whole fleet starts for the first time, on empty disks.
   bool first_start = false;
-  std::size_t losses_borne = 1;
+  std::size_t tolerated_losses = 1;
   std::string data_folder;          ///< Empty: no disk.
   std::optional<Endpoint> front;    ///< Entry: address for callers.
   std::optional<Endpoint> ready;    ///< Entry: readiness check.
--- a/src/nodes/noderuntime.h
+++ b/src/nodes/noderuntime.h
@@ -80,7 +80,7 @@
   void LoadRoutes();
   void ScheduleLeaderSearch();
   void SearchLeader();
-  void WatchBacklog();
+  void CheckBacklog();
   void ServeMetrics();
   http::HttpResponse HandleMetricsRequest(std::string_view path);
   /// The known quarantined fingerprints as a JSON list.
--- a/src/nodes/storenode.h
+++ b/src/nodes/storenode.h
@@ -17,7 +17,7 @@
 
   /// Transfers leadership and releases engines.
   void BeginLeave() {
-    this->store.HandOver();
+    this->store.TransferLeadership();
     this->host.BeginLeave();
   }
   /// True when no slot is in use or requested.
--- a/src/nodes/tests/batchrunner_tests.cpp
+++ b/src/nodes/tests/batchrunner_tests.cpp
@@ -174,7 +174,7 @@
 /// A runner connected to an engine and a leader.
 struct RunnerFixture {
   explicit RunnerFixture(std::uint32_t slots) {
-    this->desk.SetSlots(slots);
+    this->allocator.SetSlots(slots);
     this->runner.SetEngine("e");
     this->runner.SetRoutes(MakeBatchTable());
   }
@@ -196,13 +196,13 @@
   void Occupy(std::uint32_t count) {
     for (std::uint32_t i = 0; i < count; ++i) {
       const Time now = MonotonicNow();
-      this->desk.Acquire({++this->last_ticket, 0, now + kAmpleTime}, now);
+      this->allocator.Acquire({++this->last_ticket, 0, now + kAmpleTime}, now);
     }
     this->runner.Balance();
   }
   void Leave(std::uint32_t count) {
     for (std::uint32_t i = 0; i < count; ++i) {
-      this->desk.Release(this->last_ticket--, MonotonicNow());
+      this->allocator.Release(this->last_ticket--, MonotonicNow());
     }
     this->runner.Balance();
   }
@@ -214,14 +214,14 @@
   coordination::LeaderSearch job_search = SearchAmong(this->leader.Address());
   coordination::GroupClient jobs{this->context, this->peers, this->job_search};
   http::HttpClient client{this->context};
-  slots::SlotAllocator desk;
+  slots::SlotAllocator allocator;
   Dialect dialect = MakeBatchDialect();
   slots::TicketId last_ticket = 0;
   BatchRunner runner{{"g", 1, "llm", this->engine.Address()},
                      this->dialect,
                      this->client,
                      this->jobs,
-                     this->desk};
+                     this->allocator};
 };
 
 }  // namespace
@@ -449,7 +449,7 @@
   SECTION("not when room grows, which the next pull can fill") {
     fixture.Occupy(1);
     fixture.Leave(1);
-    fixture.desk.SetSlots(kSlots + 2);
+    fixture.allocator.SetSlots(kSlots + 2);
     fixture.RunFor(3 * BatchRunner::kAnswerTime);
     CHECK_FALSE(pulls()[0].cancelled);
     hand_out(0);
@@ -481,7 +481,7 @@
     // slots shrinks at each pull.
     constexpr auto kLate = 3 * BatchRunner::kAnswerTime;
     const bool arrived = fixture.RunUntil([&] {
-      const std::uint32_t room = fixture.desk.FreeBatchSlots();
+      const std::uint32_t room = fixture.allocator.FreeBatchSlots();
       if (room > 1 && pulls().back().asked.room == room) {
         fixture.Occupy(1);
       }
--- a/src/nodes/tests/resultfleet.h
+++ b/src/nodes/tests/resultfleet.h
@@ -85,9 +85,9 @@
         jobs(context, this->peers, this->search),
         client(context),
         runner({name, 1, "llm", engines.Address()}, dialect, this->client,
-               this->jobs, this->desk) {
+               this->jobs, this->allocator) {
     this->search.SetMembers(members);
-    this->desk.SetSlots(kSlots);
+    this->allocator.SetSlots(kSlots);
     this->runner.SetEngine("e");
     this->runner.SetRoutes(MakeBatchTable());
   }
@@ -96,7 +96,7 @@
   coordination::LeaderSearch search;
   coordination::GroupClient jobs;
   http::HttpClient client;
-  slots::SlotAllocator desk;
+  slots::SlotAllocator allocator;
   BatchRunner runner;
 };
 
--- a/src/replication/internal/replicatedgroup.cpp
+++ b/src/replication/internal/replicatedgroup.cpp
@@ -465,7 +465,7 @@
       change);
 }
 
-void ReplicatedGroup::HandOver() {
+void ReplicatedGroup::TransferLeadership() {
   this->core->TransferLeadership(this->environment.now());
   this->ProcessReady();
 }
--- a/src/replication/replicatedgroup.h
+++ b/src/replication/replicatedgroup.h
@@ -110,7 +110,7 @@
                         std::span<const std::string> leaving_addresses,
                         const GroupSize& size);
   /// Transfers leadership to another member before a graceful stop.
-  void HandOver();
+  void TransferLeadership();
   /// Serialises this member's whole state, for a member that is too far behind.
   std::string ExportState() const;
 
--- a/src/roles/internal/rolesmodule.cpp
+++ b/src/roles/internal/rolesmodule.cpp
@@ -187,7 +187,7 @@
       {"settings", "FILE", "settings file of this process"}};
   const std::vector<std::pair<std::string, std::string>> roles = {
       {"entry", "runs an entry: HTTP for callers and operators"},
-      {"side", "runs the gate of each upstream"},
+      {"side", "runs the gate of one upstream"},
       {"control", "runs a control member on a formatted data folder"},
       {"solo", "runs all roles in one process, for local use or evaluation"}};
   for (const auto& entry : roles) {
--- a/src/statemachine/internal/statemachine.cpp
+++ b/src/statemachine/internal/statemachine.cpp
@@ -104,7 +104,7 @@
 CommandReply StateMachine::Execute(const AdvanceTime& command) {
   this->job_store.ExpireLeases(command.now_ms);
   this->job_store.ExpireJobs(command.now_ms);
-  this->claim_store.Expire(command.now_ms);
+  this->claim_table.Expire(command.now_ms);
   this->file_store.Expire(
       command.now_ms - kUnusedFileRetentionMs, [this](const std::string& id) {
         const auto list = this->job_store.List("");
@@ -119,12 +119,12 @@
 }
 
 CommandReply StateMachine::Execute(const MakeClaim& command) {
-  const claims::ClaimOutcome outcome = this->claim_store.Claim(command.request);
+  const claims::ClaimOutcome outcome = this->claim_table.Claim(command.request);
   return ReplyWith(0, outcome);
 }
 
 CommandReply StateMachine::Execute(const EndClaim& command) {
-  this->claim_store.End(command.end);
+  this->claim_table.End(command.end);
   return {};
 }
 
@@ -137,7 +137,7 @@
   saved.documents = this->document_store.Save();
   saved.files = this->file_store.all();
   saved.jobs = this->job_store.Save();
-  saved.claims = this->claim_store.Save();
+  saved.claims = this->claim_table.Save();
   return EncodeMessage(saved);
 }
 
@@ -146,7 +146,7 @@
   this->document_store.Load(saved.documents);
   this->file_store.Load(std::move(saved.files));
   this->job_store.Load(saved.jobs);
-  this->claim_store.Load(saved.claims);
+  this->claim_table.Load(saved.claims);
 }
 
 }  // namespace papayarack::statemachine
--- a/src/statemachine/statemachine.h
+++ b/src/statemachine/statemachine.h
@@ -37,7 +37,7 @@
   }
   const jobs::JobStore& jobs() const { return this->job_store; }
   const jobs::FileStore& files() const { return this->file_store; }
-  const claims::ClaimTable& claims() const { return this->claim_store; }
+  const claims::ClaimTable& claims() const { return this->claim_table; }
 
  private:
   CommandReply Execute(const SubmitDocument& command);
@@ -53,7 +53,7 @@
   documents::DocumentStore document_store;
   jobs::FileStore file_store;
   jobs::JobStore job_store;
-  claims::ClaimTable claim_store;
+  claims::ClaimTable claim_table;
 };
 
 }  // namespace papayarack::statemachine
--- a/tools/prove.py
+++ b/tools/prove.py
@@ -44,7 +44,7 @@
     ("say not run after a possible run", "src/entry/internal/onlinecall.cpp",
      "  this->maybe_ran = this->maybe_ran || !not_run;\n", "", "entry"),
     ("run anew instead of taking up", "src/entry/internal/onlinecall.cpp",
-     "this->request.take_up = this->reconnects > 0;", "this->request.take_up = false;", "entry"),
+     "this->request.resume_only = this->reconnects > 0;", "this->request.resume_only = false;", "entry"),
 ]
 
 
