--- a/src/coordination/changelist.h
+++ b/src/coordination/changelist.h
@@ -22,8 +22,8 @@
 
 /// A list that gives readers the changes since the revision they have. Sending
 /// complete lists instead costs one copy of all replicas for every process
-/// whenever one replica drains. That grows with the product of both numbers and
-/// keeps the leader's link full during a rolling release with two changes a
+/// whenever one replica drains. That cost grows with replicas times processes
+/// and keeps the leader's link full during a rolling release with two changes a
 /// second. Thread safety: none.
 ///
 /// `kAudience` is the member of Item that decides which readers want it: a
@@ -135,7 +135,8 @@
     Item item;
     std::uint64_t revision = 0;
   };
-  /// The item that a key had until that revision.
+  /// The item that a key had before it was removed, or moved to other readers,
+  /// at `entry.revision`.
   struct Tombstone {
     std::string key;
     Entry entry;
@@ -159,7 +160,7 @@
   std::map<std::string, Entry> items;
   std::vector<Tombstone> tombstones;  ///< Oldest first; a key may have several.
   std::uint64_t current = 1;
-  std::uint64_t oldest = 1;  ///< First revision that can be updated by changes.
+  std::uint64_t oldest = 1;  ///< Earlier revisions need the full list.
 };
 
 /// Applies `changes` to the reader's items `held`, whose keys `key_of` returns.
--- a/src/coordination/contentchunks.h
+++ b/src/coordination/contentchunks.h
@@ -69,8 +69,9 @@
   /// Adds a chunk, identified by the hash of its bytes. Returns false if the
   /// text has no such chunk.
   bool TakeChunk(std::string bytes);
-  /// The next missing chunks, in order, of at most `bytes` together (at least
-  /// one, if any is missing), without those whose hashes are in `except`.
+  /// The next missing chunks, in order, except those whose hashes are in
+  /// `except`. Their total size is at most `bytes`, but one chunk is returned
+  /// even if it is larger.
   std::vector<ChunkName> Missing(
       std::size_t bytes,
       const std::unordered_set<std::uint64_t>& except = {}) const;
--- a/src/coordination/coordinationmessages.h
+++ b/src/coordination/coordinationmessages.h
@@ -13,7 +13,7 @@
 /// Messages between any process and the members of the coordination group.
 namespace papayarack::coordination {
 
-/// Stands in for an age if this leader has not read the platform's list yet.
+/// Value of `engines_age_ms` while the leader has not read the platform's list.
 inline constexpr std::uint32_t kEnginesNeverRead = UINT32_MAX;
 
 enum class NodeRole : std::uint8_t { kEntry = 0, kGate = 1, kStore = 2 };
--- a/src/coordination/fleetwatch.h
+++ b/src/coordination/fleetwatch.h
@@ -71,7 +71,8 @@
   void SetJobMembers(std::vector<std::string> members, std::uint64_t term);
   /// Reports at once that a replica crashed while it ran `request`.
   void ReportCrash(const quarantine::Fingerprint& request, std::string replica);
-  /// Reports at once that a replica completed `request`, which is suspected.
+  /// Reports at once that a replica completed `request`, which was suspected of
+  /// crashing replicas.
   void ReportSurvival(const quarantine::Fingerprint& request);
   /// The requests that the leader has quarantined.
   const CrashReports& crashes() const { return this->crash_reports; }
@@ -93,7 +94,7 @@
   void ResendWatch();
   void OnReply(const std::string& message);
   bool TakeConfiguration(const WatchReply& reply);
-  /// Precondition: `manifest` is that of `text`.
+  /// Precondition: `manifest` describes `text`.
   void ApplyConfiguration(const TextManifest& manifest, std::string text);
   void OnFetched(std::optional<std::string> text);
   void OnChunksUnusable(std::uint64_t version);
--- a/src/coordination/internal/contentchunks.cpp
+++ b/src/coordination/internal/contentchunks.cpp
@@ -11,9 +11,9 @@
 
 constexpr std::size_t kSmallestChunk = 1U << 10U;
 constexpr std::size_t kLargestChunk = 16U << 10U;
-/// Behind the smallest chunk, a boundary follows a byte where these bits of the
-/// rolling hash are zero: on average every 4 KiB. The upper bits are used
-/// because they depend on the last 64 bytes.
+/// Once a chunk has the smallest size, it ends at the next byte where these
+/// bits of the rolling hash are zero: on average 4 KiB further on. The upper
+/// bits are used because they depend on the last 64 bytes.
 constexpr unsigned kBoundaryBits = 12;
 constexpr std::uint64_t kBoundaryMask =
     ((std::uint64_t{1} << kBoundaryBits) - 1) << (64U - kBoundaryBits);
--- a/src/coordination/internal/coordinationstate.cpp
+++ b/src/coordination/internal/coordinationstate.cpp
@@ -11,7 +11,7 @@
     const auto decoded = DecodeVariant<CoordinationCommand>(command);
     std::visit([this](const auto& body) { this->Do(body); }, decoded);
   } catch (const ResultError& error) {
-    // Every member sees the same bytes and skips them.
+    // All members skip the same malformed command, so their states stay equal.
     Log(LogLevel::kError, "command_unreadable", {{"text", error.what()}});
   }
 }
--- a/src/coordination/internal/coordinator.cpp
+++ b/src/coordination/internal/coordinator.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTick{20};
-/// Interval of checks of membership and silent processes.
+/// Interval at which membership and silent processes are checked.
 constexpr std::chrono::milliseconds kWorkInterval{100};
 /// A watch is answered after this long without changes, so that both sides know
 /// that the other is alive.
@@ -329,8 +329,8 @@
 
 bool Coordinator::OfferConfiguration(Watcher& watcher, Time now) {
   const WatchRequest& request = watcher.request;
-  // A fetch of an older version does not delay this one: a small change that
-  // reverts it can be applied at once.
+  // A running fetch of an older version does not delay the newer one: if that
+  // is a small change that reverts it, the process can apply it at once.
   const bool fetches_it = !request.fetching_from.empty() &&
                           request.fetching_version >= this->state.version();
   if (request.config_version >= this->state.version() || fetches_it) {
--- a/src/coordination/internal/groupenvironment.cpp
+++ b/src/coordination/internal/groupenvironment.cpp
@@ -46,9 +46,10 @@
   std::map<std::uint64_t, Time> readers;  ///< Last request by reader.
 };
 
-/// Makes a new export for `reader`, which begins, unless the present one is
-/// usable. An old one that has been read completely is not: that reader may be
-/// the same one, and still lag.
+/// Makes a new export for a reader that starts a fetch, unless the current one
+/// is usable. One that is older than kExportLifetime and has been read
+/// completely is not usable: the new reader may be the one that read it, and
+/// still lag.
 void ExportFor(SharedExport& exported, Time now,
                const replication::ReplicatedGroup& group) {
   const bool new_enough =
@@ -71,7 +72,7 @@
   std::uint64_t version = 0;
   std::string bytes;
   std::string reply;
-  int retries = 0;  ///< Of the present part.
+  int retries = 0;  ///< Of the current part.
   std::function<void(std::string)> done;
 };
 
@@ -98,7 +99,7 @@
   }
   fetch->retries = 0;
   if (part.version != fetch->version) {
-    fetch->bytes.clear();  // Another export: start again.
+    fetch->bytes.clear();  // Of another export: start again.
     fetch->version = part.version;
   }
   if (part.offset != fetch->bytes.size() || part.bytes.empty()) {
--- a/src/coordination/internal/jobmembers.cpp
+++ b/src/coordination/internal/jobmembers.cpp
@@ -22,7 +22,7 @@
   const NodeReport* leader = NewestJobLeader(nodes);
   if (leader != nullptr) {
     members = leader->job_members;
-    // The leader may have left its group since.
+    // The leader comes first, even if it has left its group since.
     std::erase(members, leader->address);
     members.insert(members.begin(), leader->address);
   }
--- a/src/coordination/internal/transferplan.cpp
+++ b/src/coordination/internal/transferplan.cpp
@@ -186,7 +186,7 @@
   std::string best = own_copy ? asker.report.address : std::string();
   std::size_t best_cost = SIZE_MAX;
   const auto offer = [&](const std::string& address, std::size_t distance) {
-    // Larger than any distance, so that sources that have failed come last.
+    // Larger than any `distance`, so that sources that have failed come last.
     constexpr std::size_t kFailed = 1000;
     const std::size_t load = this->FetchersOf(address);
     const auto own_failures = asker.failures.find(address);
--- a/src/coordination/nodetable.h
+++ b/src/coordination/nodetable.h
@@ -49,7 +49,8 @@
   }
 
   std::uint64_t revision() const { return this->nodes.revision(); }
-  /// Whether reports of the roles that `asker` needs have changed since.
+  /// Whether reports of the roles that `asker` needs have changed since
+  /// `revision`.
   bool ChangedFor(NodeRole asker, std::uint64_t revision) const;
   /// Those changes; since revision zero the complete list, by name.
   ListChanges<NodeReport> ChangesFor(NodeRole asker,
--- a/src/coordination/quarantinetracker.h
+++ b/src/coordination/quarantinetracker.h
@@ -17,12 +17,13 @@
   /// Resets the state for a new leader, which learns all from entries' reports.
   void BeginTerm();
   void OnReport(const WatchRequest& request, Time now);
-  /// Quarantines the requests for which that is due.
+  /// Quarantines the requests whose reported crashes now require it.
   void Evaluate(Time now);
   /// Whether the sender lacks the newest list. True for entries only, as other
   /// processes send no callers' requests.
   bool NeedsList(const WatchRequest& request) const;
-  /// Adds the list if the sender, or the leader that it knew before, lacks it.
+  /// Adds the list's revision, and for entries the list itself if the sender
+  /// lacks it or its last reply is of another term.
   void AddTo(const WatchRequest& request, WatchReply& reply) const;
 
  private:
--- a/src/coordination/tests/changelist_tests.cpp
+++ b/src/coordination/tests/changelist_tests.cpp
@@ -42,7 +42,7 @@
     for (const std::optional<int> zone :
          {std::optional<int>(), std::optional<int>(0), std::optional<int>(1),
           std::optional<int>(2)}) {
-      // Two of each kind, which update at different times.
+      // Two readers for each zone, which update at different times.
       this->readers.push_back({zone, {}, 0});
       this->readers.push_back({zone, {}, 0});
     }
@@ -134,9 +134,9 @@
   SECTION("after any sequence of changes") {
     CHECK(rc::check("items keep their zone", [] { RunRandomSteps(false); }));
   }
-  // Guards against a reader that keeps an item which is for another reader now.
+  // Guards against a reader that keeps an item whose new zone it does not want.
   // The item is set, or removed and set again, with another zone, and only
-  // items that the reader wants now counted as changes.
+  // items that the reader still wants counted as changes.
   SECTION("also if items move to other readers") {
     CHECK(rc::check("items change their zone", [] { RunRandomSteps(true); }));
   }
--- a/src/coordination/tests/coordination_tests.cpp
+++ b/src/coordination/tests/coordination_tests.cpp
@@ -503,7 +503,8 @@
   CHECK(giver.IsExport(first, 1));
   CHECK((first == second));
   CHECK(giver.Sent() < 3 * kStateBytes);
-  // A reader that has it completely and asks again lags behind it already.
+  // A reader that has the complete export and requests the state again lags
+  // behind that export.
   SECTION("and a newer one if they ask again") {
     first_done = false;
     giver.Fetch(first, first_done);
--- a/src/coordination/tests/largeconfiguration_tests.cpp
+++ b/src/coordination/tests/largeconfiguration_tests.cpp
@@ -36,15 +36,15 @@
 
 /// Less than half of the 9 s within which a change must be in force.
 constexpr milliseconds kLargeInForce{4000};
-/// A few bytes that differ need a few messages.
+/// A change of a few bytes needs only a few messages.
 constexpr milliseconds kSmallChangeInForce{2000};
 /// A replica drains for 3 s; the list is read each 0.5 s.
 constexpr milliseconds kReplicasKnown{2500};
 /// Each process needs the text once, from any source; the leader serves only a
 /// few.
 constexpr std::uint64_t kMaxTextsFromLeader = 6;
-/// After 2.5 s a new leader's table of processes is settled and sent to all,
-/// which must not be counted with a small change.
+/// After 2.5 s a new leader's table of processes is settled and sent to all.
+/// Those bytes must not be counted as part of a small change.
 constexpr milliseconds kSettled{3000};
 /// Observation time beyond the bound, to distinguish late from never.
 constexpr milliseconds kWatched{6500};
--- a/src/coordination/tests/spreadfaults_tests.cpp
+++ b/src/coordination/tests/spreadfaults_tests.cpp
@@ -274,7 +274,7 @@
     RunUntil(context, everywhere, kInForce);
     CHECK(everywhere());
     const auto after = ChunkBytes(leader()->host);
-    // The leader's own process reads it there too.
+    // About one copy: the leader's own process fetches it there too.
     CHECK(after - before < 3 * kLargeBytes / 2);
   }
 }
--- a/src/coordination/tests/textfetch_tests.cpp
+++ b/src/coordination/tests/textfetch_tests.cpp
@@ -129,7 +129,7 @@
     first.answers = kAnswers;
     first.then = Source::Behaviour::kEnds;
     CHECK_FALSE(FetchAndRun(context, fetch, first.Address()).text.has_value());
-    // As for the leader's next reply, with the same text.
+    // As after the leader's next reply, which offers the same text.
     REQUIRE_FALSE(fetch.Prepare(manifest, "", {}).has_value());
     const Fetched fetched = FetchAndRun(context, fetch, second.Address());
     CHECK(fetched.text == text);
--- a/src/coordination/tests/transferplan_tests.cpp
+++ b/src/coordination/tests/transferplan_tests.cpp
@@ -406,7 +406,7 @@
     }
     now += kFetchTimeout;
   }
-  // From the leader, after at most one other source.
+  // It fetches from the leader after at most one failed source.
   CHECK(fetches <= 2);
   SECTION("and tries those again after a long time") {
     plan.OnReport(Holds("a", 2), now);
--- a/src/fleet/fleettable.h
+++ b/src/fleet/fleettable.h
@@ -12,7 +12,8 @@
 
 namespace papayarack::fleet {
 
-/// A process's report about itself in each heartbeat.
+/// A process's report about itself in each heartbeat. Members marked "side" are
+/// set only by processes of that role.
 struct ProcessReport {
   std::string name;
   std::string role;
@@ -26,7 +27,8 @@
   std::uint32_t running = 0;  ///< side: requests at the upstream.
   std::uint32_t limit = 0;    ///< side: learned limit of the upstream.
   std::uint32_t waiting = 0;  ///< side: online requests in its queue.
-  /// side: concurrent requests at which they begin to slow each other down.
+  /// side: number of concurrent requests at the upstream from which they slow
+  /// each other down.
   std::uint32_t shared_limit = 0;
   MSGPACK_DEFINE(name, role, zone, service, kind, address, incarnation,
                  revision, leaving, running, limit, waiting, shared_limit)
@@ -43,9 +45,10 @@
 };
 
 /// The processes of the fleet: heartbeats merged with the platform's list. A
-/// report of an older incarnation is ignored. A process that either side
-/// reports as leaving is leaving at once, for the rest of its incarnation,
-/// whatever either side reports later. Thread safety: none.
+/// report of an older incarnation is ignored. A process that its own
+/// heartbeat or the platform reports as leaving is leaving at once, for the
+/// rest of its incarnation, whatever either of them reports later. Thread
+/// safety: none.
 class FleetTable {
  public:
   /// `dead_after`: silence after which a process counts as dead.
--- a/src/transport/internal/http2session.cpp
+++ b/src/transport/internal/http2session.cpp
@@ -175,7 +175,7 @@
   for (const auto& [stream, out] : this->outgoing) {
     this->CountDequeued(out, out.bytes.size() - out.sent);
   }
-  // The rest is the write buffer.
+  // What remains of this connection's share is the write buffer.
   Decrease(this->counters->unsent_bytes, this->unsent_bytes);
   Decrease(this->counters->connections);
   this->unsent_bytes = 0;
--- a/src/transport/internal/http2session.h
+++ b/src/transport/internal/http2session.h
@@ -43,8 +43,8 @@
 
   /// Starts reading; call once, after construction in a shared_ptr.
   void Start();
-  /// Client: opens a request stream. Not positive when the session accepts no
-  /// more streams.
+  /// Client: opens a request stream. Returns its id, which is not positive if
+  /// the session accepts no more streams.
   std::int32_t OpenRequest(std::string_view path, std::string body);
   /// Server: starts the response on a stream.
   void StartResponse(std::int32_t stream);
--- a/src/transport/internal/peerclient.cpp
+++ b/src/transport/internal/peerclient.cpp
@@ -18,7 +18,8 @@
 namespace papayarack::transport {
 namespace {
 
-/// Enough to reach any reasonable maximum connect timeout.
+/// Most doublings of the connect timeout: enough to reach any reasonable
+/// maximum.
 constexpr std::uint32_t kMaxDoublings = 10;
 
 }  // namespace
--- a/src/transport/internal/peerserver.cpp
+++ b/src/transport/internal/peerserver.cpp
@@ -17,8 +17,8 @@
 namespace papayarack::transport {
 namespace {
 
-/// Checks for silence in each silent_after; a silent connection is closed late
-/// by up to this fraction of it.
+/// Number of checks for silence within one silent_after. A silent connection is
+/// closed up to one check interval late.
 constexpr int kChecksPerTimeout = 5;
 
 }  // namespace
--- a/src/transport/tests/transporttotals_tests.cpp
+++ b/src/transport/tests/transporttotals_tests.cpp
@@ -285,7 +285,7 @@
   const TransportTotals client{1, 2, 90, 3, 7, {{"/b", 1, 1, 80, 7}}};
   Metrics metrics;
   ExportTransportMetrics(server, client, metrics);
-  // A second export sets the totals and does not add to them.
+  // A second export must set the totals again, not add to them.
   ExportTransportMetrics(server, client, metrics);
   const std::string text = "\n" + metrics.Exposition();
   for (const char* line :
