--- a/src/claims/claimtable.h
+++ b/src/claims/claimtable.h
@@ -26,7 +26,7 @@
   std::string key;
   std::string content_hash;
   std::string claim_id;  ///< Made once for each attempt to claim, so that a
-                         ///< resend is known.
+                         ///< resend is recognised.
   std::int64_t now_ms = 0;
   std::int64_t keep_ms = 0;
   std::int64_t deadline_ms =
--- a/src/nodes/batchrunner.h
+++ b/src/nodes/batchrunner.h
@@ -39,7 +39,7 @@
   /// one report in flight, so this times the number of gates is what the leader
   /// may receive at once: 4.6 MB for 144.
   static constexpr std::size_t kMaxReportBytes = 32U << 10U;
-  /// A pull that the leader answered at once has been answered within this
+  /// The answer to a pull that the leader does not delay arrives within this
   /// time: ten round trips between regions of one continent (20 ms each), or
   /// 200 KB at the rate of TransferTime. Doubled by each pull that was
   /// cancelled without an answer, so that an answer of any size arrives
@@ -53,10 +53,10 @@
   /// one attempt.
   static constexpr std::size_t kMaxReturnBytes = 256U << 10U;
   /// Backoff after the first failed report, doubled by each further failure.
-  /// Without it, refusals that come at once would be answered with copies as
-  /// fast as the link allows.
+  /// Without it, immediate refusals would cause repeated reports as fast as the
+  /// link allows.
   static constexpr std::chrono::milliseconds kMinReportBackoff{100};
-  /// Upper bound of the backoff: longer than an election (0.6 to 1.2 s) it
+  /// Upper bound of the backoff: one longer than an election (0.6 to 1.2 s)
   /// would only delay results.
   static constexpr std::chrono::milliseconds kMaxReportBackoff{1600};
 
@@ -121,8 +121,8 @@
   /// Moves the items for the next pull from `to_return` to `returning`, where
   /// they stay until it is answered.
   void SelectReturns();
-  /// The pull in flight may not have arrived: the next one returns its items
-  /// again.
+  /// Moves the items of the pull in flight back to `to_return`, as that pull
+  /// may not have arrived.
   void RequeueReturns();
   std::vector<batches::ItemRef> HeldItems() const;
   std::uint32_t Room() const;
--- a/src/nodes/engineowner.h
+++ b/src/nodes/engineowner.h
@@ -80,7 +80,8 @@
   Duration ReportInterval() const;
   void OnReport(const std::string& body);
   void ReportFailed();
-  /// Opens or closes desk and runner according to the state of the engine.
+  /// Opens or closes the slot allocator and the batch runner according to the
+  /// state of the engine.
   void UpdateAvailability();
   void ApplyListing(const coordination::EngineInstance& listed);
   void LearnStart(std::uint64_t started_ms);
--- a/src/nodes/internal/batchrunner.cpp
+++ b/src/nodes/internal/batchrunner.cpp
@@ -153,13 +153,14 @@
 }
 
 /// Prevents items from being sent over the links repeatedly and starting late
-/// while online requests come and go: if any change of room cancelled the pull
-/// in flight, the bodies that the leader had already sent would be lost. The
-/// leader hands out at once what it has, so a pull is left alone while an
-/// answer may be in flight. It is cancelled only for changes that the leader's
-/// delay of 1 s would hold up: less room than requested, room where there was
-/// none, or items to return. If room merely grew, the next pull fills it. A
-/// pull that can bring nothing is cancelled at once.
+/// while online requests come and go: if any change in the number of items that
+/// fit cancelled the pull in flight, the bodies that the leader had already
+/// sent would be lost. The leader hands out at once what it has, so a pull is
+/// left alone while an answer may be in flight. It is cancelled only for
+/// changes that the leader's delay of 1 s would hold up: room for fewer items
+/// than requested, room where there was none, or items to return. If the room
+/// merely grew, the next pull fills it. A pull that can bring nothing is
+/// cancelled at once.
 bool BatchRunner::ShouldPull(Time now) const {
   if (this->pull_call == 0) {
     return true;
--- a/src/nodes/internal/engineowner.cpp
+++ b/src/nodes/internal/engineowner.cpp
@@ -103,8 +103,8 @@
   }
 }
 
-/// Prevents slots from staying taken and items from waiting for runs of a
-/// replica that was replaced by another one at the same address.
+/// Prevents runs of a replica that was replaced by another one at the same
+/// address from keeping slots taken and items waiting.
 void EngineOwner::ApplyListing(const coordination::EngineInstance& listed) {
   const bool other_replica =
       !this->last_id.empty() && this->last_id != listed.id;
--- a/src/nodes/internal/entrynode.cpp
+++ b/src/nodes/internal/entrynode.cpp
@@ -283,8 +283,8 @@
   load.rate = ListRate(this->runtime.options.list_calls_per_second);
   load.readers = EstimateReaders(this->runtime.watch->search().members().size(),
                                  known.engines.size());
-  // Usually this process has not read the list before; the list it knows tells
-  // the size.
+  // Usually this process has not read the list itself before; the size is then
+  // estimated from the list that it received.
   load.pages = std::max(this->runtime.list_reader.pages,
                         EstimatePages(known.engines.size()));
   return load;
--- a/src/nodes/internal/noderuntime.cpp
+++ b/src/nodes/internal/noderuntime.cpp
@@ -47,8 +47,8 @@
       dialect(dialect),
       incarnation(RandomNumber()),
       search_backoff(this->incarnation) {
-  // If no entry has a disk the seeds keep the coordination group in memory: a
-  // restarted one is a new member, as after the loss of a disk.
+  // If no entry has a disk, the seeds keep the coordination group in memory: a
+  // seed that restarts is a new member, as after the loss of a disk.
   const bool in_memory = this->options.data_folder.empty() &&
                          this->options.role == coordination::NodeRole::kEntry &&
                          this->IsSeed();
--- a/src/nodes/internal/onlinerelay.cpp
+++ b/src/nodes/internal/onlinerelay.cpp
@@ -228,7 +228,7 @@
 }
 
 /// The gate or its connection is lost. Nothing was sent before the grant, so
-/// another gate is tried; after it the engine continues the request.
+/// another gate is tried; after the grant the engine continues the request.
 void OnlineRelay::OnAskFailed(CallId id, std::uint64_t attempt) {
   const auto found = this->calls.find(id);
   if (found == this->calls.end() || found->second.attempt != attempt) {
--- a/src/nodes/listpolling.h
+++ b/src/nodes/listpolling.h
@@ -79,12 +79,13 @@
   /// overload.
   static constexpr double kBackoffFactor = 2;
   static constexpr double kRecoveryFactor = 1.5;
-  /// Upper bound of this multiplier: there can be this many times the readers
-  /// that EstimateReaders finds before more than kFallbackShare is used.
+  /// Upper bound of this multiplier: kFallbackShare is not exceeded by up to
+  /// this many times the readers that EstimateReaders returns.
   static constexpr double kMaxStretch = 8;
   /// A scheduled read that is overdue by this long was not needed, as a leader
   /// provided lists; the next period without lists starts with a random wait.
-  /// Longer than kMaxListAge, after which a list of its own has to be renewed.
+  /// Longer than kMaxListAge, after which a list that the process has read
+  /// itself must be renewed.
   static constexpr std::chrono::milliseconds kScheduleExpiry{4000};
 
   /// Precondition: `seed` differs between processes.
@@ -142,15 +143,15 @@
 /// safety: none.
 class PageRetry {
  public:
-  /// Pauses between retries double from the first to the longest. In the first,
-  /// the platform accepts five to twenty calls.
+  /// Pauses between retries double from the first to the longest. During the
+  /// first, the platform accepts five to twenty calls.
   static constexpr std::chrono::milliseconds kInitialPause{100};
   static constexpr std::chrono::milliseconds kMaxPause{800};
   /// Maximum retries of one page: the pauses of more exceed kMaxReadTime.
   static constexpr std::size_t kMaxRepeats = 6;
-  /// Timeout of a read. A replica that drains after its page was read keeps
-  /// getting work until the list is complete, but must get none later than
-  /// NodeOptions::drain, which is this long, after the list shows it.
+  /// Timeout of a read, equal to NodeOptions::drain: a replica that drains
+  /// after its page was read keeps getting work until the list is complete, but
+  /// must get none later than that time after the list shows it.
   static constexpr std::chrono::milliseconds kMaxReadTime{3000};
 
   explicit PageRetry(Time begun, std::size_t max_repeats = kMaxRepeats)
--- a/src/nodes/listreading.h
+++ b/src/nodes/listreading.h
@@ -35,8 +35,8 @@
 
 /// Reads the platform's list of replicas page by page, with retries according
 /// to PageRetry. `done` gets nothing when the read failed, at the latest after
-/// PageRetry::kMaxReadTime. A replica on two pages is returned once, as the
-/// later page has it. Entries without a usable replica are skipped and logged.
+/// PageRetry::kMaxReadTime. A replica on two pages is returned once, as listed
+/// on the later page. Entries without a usable replica are skipped and logged.
 /// Precondition: `context`, `client`, `dialect` and `reader` outlive the read.
 /// Thread safety: none, the loop's thread.
 void ReadEngineList(
--- a/src/nodes/onlinerelay.h
+++ b/src/nodes/onlinerelay.h
@@ -56,7 +56,7 @@
             Time arrived);
   /// The caller has disconnected. True when the exchange was this relay's.
   bool CallerGone(http::ExchangeId exchange);
-  /// Sets when the platform's list was read, for the log.
+  /// Sets the time at which the platform's list was read, for the log.
   void SetListSeen(Time seen) { this->engines_seen = seen; }
   void SetFleet(const coordination::FleetKnowledge& fleet,
                 const routes::FleetConfiguration& configuration);
--- a/src/nodes/startupqueue.h
+++ b/src/nodes/startupqueue.h
@@ -30,7 +30,8 @@
  public:
   explicit StartupQueue(Time started) : started(started) {}
 
-  /// Queues a request; false when it must be refused now, and is unchanged.
+  /// Queues a request. False when it must be refused now; it is then left
+  /// unchanged.
   bool Offer(http::ExchangeId exchange, http::HttpRequest& request, Time now);
   /// Removes all requests, oldest first.
   std::vector<EarlyRequest> TakeAll();
--- a/src/nodes/tests/listpolling_tests.cpp
+++ b/src/nodes/tests/listpolling_tests.cpp
@@ -12,7 +12,8 @@
 
 Time At(int ms) { return Time(milliseconds(ms)); }
 
-/// The platform's rate-limited list; the calls of `burst_s` may come at once.
+/// The platform's rate-limited list; the calls allowed in `burst_s` seconds may
+/// come at once.
 struct LimitedList {
   double rate = 0;
   double burst_s = 1;
--- a/src/nodes/tests/ownership_tests.cpp
+++ b/src/nodes/tests/ownership_tests.cpp
@@ -80,9 +80,10 @@
   }
 
   Duration LongestOwnerless() const { return this->longest_ownerless; }
-  /// Maximum time of two hosts that hear the leader.
+  /// Maximum time for which two hosts that hear the leader own the same engine.
   Duration LongestShared() const { return this->longest_shared; }
-  /// Maximum time of a host that no longer hears the leader.
+  /// Maximum time for which a host still owns an engine after it was cut off
+  /// from the leader.
   Duration LongestByOldList() const { return this->longest_by_old_list; }
 
  private:
@@ -105,7 +106,7 @@
     }
   }
 
-  /// Each process follows the list with another part of the delay.
+  /// Each process follows the list with a different part of the delay.
   void FollowAll() {
     for (std::size_t i = 0; i < this->processes.size(); ++i) {
       Process& process = this->processes[i];
--- a/src/nodes/tests/resultburst_tests.cpp
+++ b/src/nodes/tests/resultburst_tests.cpp
@@ -3,8 +3,8 @@
 namespace papayarack::nodes {
 
 // Guards against an overload that lasts after its cause has ended: results
-// arrive faster than a leader with part of a processor commits them, and it
-// never catches up.
+// arrive faster than a leader with a share of a processor can commit them, and
+// it never catches up.
 TEST_CASE("a burst of results is committed soon after its end") {
   constexpr milliseconds kBurst{4000};
   constexpr double kShare = 0.06;
--- a/src/nodes/tests/resultfleet.h
+++ b/src/nodes/tests/resultfleet.h
@@ -197,8 +197,8 @@
                          kWholeProcessor, 2 * kTimeout));
 }
 
-/// Maximum time of a result to the next leader: silent connection closed,
-/// election, report retried.
+/// Maximum time until a result reaches the next leader: silent connection
+/// closed, election, report retried.
 inline milliseconds FailoverTime() {
   constexpr milliseconds kElection{1200};
   const transport::PeerClientOptions connection;
--- a/src/nodes/tests/silentleader_tests.cpp
+++ b/src/nodes/tests/silentleader_tests.cpp
@@ -3,8 +3,8 @@
 
 namespace papayarack::nodes {
 
-// Guards against calls that go back to a leader that stands still, once for
-// each hint of a member that has not noticed, 2 s each.
+// Guards against calls that return to a frozen leader, for 2 s each time, at
+// every hint of a member that has not noticed that the leader is frozen.
 TEST_CASE("a call does not go back to whoever did not answer") {
   coordination::LeaderSearch search;
   search.SetMembers({"one:1", "silent:1", "other:1"});
@@ -25,8 +25,8 @@
   }
 }
 
-// Guards against the same on the way of results: they stay at their gates for
-// seconds after another member leads.
+// Guards against the same for results: they stay at their gates for seconds
+// after another member has become the leader.
 TEST_CASE("results reach the next leader when the first stands still") {
   Fleet fleet;
   FillSlots(fleet);
--- a/src/nodes/tests/startupqueue_tests.cpp
+++ b/src/nodes/tests/startupqueue_tests.cpp
@@ -17,8 +17,8 @@
 }  // namespace
 
 // Load: 60 callers return within 0.25 s of the start of a process, whose
-// configuration arrives after 0.25 s. Refused at once all would return later;
-// held, those of the last 0.2 s are served in time.
+// configuration arrives after 0.25 s. If refused at once, all would return
+// later; if held, those of the last 0.2 s are served in time.
 TEST_CASE("requests to a process that has just started are held") {
   StartupQueue queue(At(0));
   int refused = 0;
@@ -31,7 +31,8 @@
   CHECK(refused == 13);
   CHECK(served.size() == 50);
   CHECK(served.front().exchange < served.back().exchange);
-  // Counted from when it leaves the queue the deadline would be 0.2 s too long.
+  // Counted from when it leaves the queue, the deadline would be 0.2 s too
+  // long.
   CHECK(served.front().arrived == At(52));
   CHECK(queue.Empty());
 }
--- a/src/placement/enginechooser.h
+++ b/src/placement/enginechooser.h
@@ -45,9 +45,10 @@
 /// so a wrong choice costs one round trip and no time in a queue.
 ///
 /// Load pattern: each of a few entries sees a part of one wave. Reports of
-/// gates become stale, so they are blended with the entry's own requests since;
-/// random noise of less than a slot keeps entries with the same reports from
-/// all choosing the same engine after a change. Thread safety: none.
+/// gates become stale, so they are blended with the requests that the entry has
+/// sent since; random noise of less than a slot keeps entries with the same
+/// reports from all choosing the same engine after a change. Thread safety:
+/// none.
 class EngineChooser {
  public:
   explicit EngineChooser(std::uint64_t seed) : random(seed) {}
--- a/src/placement/enginehosts.h
+++ b/src/placement/enginehosts.h
@@ -33,7 +33,7 @@
 /// Load pattern: when a VM is lost during traffic, only the engines that it
 /// owned may change their owner. Rendezvous hashing does that, but alone can
 /// give one host twice the engines of another. So a host owns at most its equal
-/// share and a quarter (Mirrokni, Thorup and Zadimoghaddam, Consistent Hashing
+/// share plus a quarter (Mirrokni, Thorup and Zadimoghaddam, Consistent Hashing
 /// with Bounded Loads, 2018); an engine over that goes to its next host in hash
 /// order. Hosts in the engine's zone are preferred, as each event of a batch
 /// item passes between host and engine. Thread safety: any thread.
@@ -43,9 +43,9 @@
 
 /// Returns how many concurrent requests `entry` may send to an engine without
 /// an owner. The engine has `slots` slots, which `entries` processes share
-/// without coordination. Prevents that, with one request each, many entries
-/// overload an engine and few leave it idle. Zero if all slots fall to other
-/// entries. Thread safety: any thread.
+/// without coordination. With one request for each entry, many entries would
+/// overload an engine and few would leave it idle. Zero if all slots fall to
+/// other entries. Thread safety: any thread.
 std::size_t SlotShare(const std::string& entry, const std::string& engine,
                       std::size_t slots, std::size_t entries);
 
--- a/src/placement/internal/enginechooser.cpp
+++ b/src/placement/internal/enginechooser.cpp
@@ -196,8 +196,8 @@
   this->states[address].unowned_until = now + Duration(kUnownedFor);
 }
 
-/// Prevents each request from asking the lost hosts in turn for seconds
-/// although their engines are idle.
+/// Prevents each request from spending seconds asking lost hosts one after the
+/// other although their engines are idle.
 void EngineChooser::HostTimedOut(const std::string& host, Time now) {
   for (const auto& [service, list] : this->options) {
     for (const EngineOption& option : list) {
--- a/src/placement/internal/enginehosts.cpp
+++ b/src/placement/internal/enginehosts.cpp
@@ -11,7 +11,7 @@
 namespace papayarack::placement {
 namespace {
 
-/// A host may exceed its equal share by the share divided by this.
+/// A host may own its equal share plus that share divided by this.
 constexpr std::size_t kExtraShareDivisor = 4;
 
 using HostIndex = std::size_t;
--- a/src/placement/slotsearch.h
+++ b/src/placement/slotsearch.h
@@ -76,10 +76,10 @@
   }
   std::size_t Asks() const { return this->asks; }
 
-  /// Gates asked for a free slot before the request queues at the least busy
-  /// one. An ask takes a round trip within a region. An entry gets a report of
-  /// each gate about once a second, so at the start of a wave it knows little
-  /// of their load, and fewer asks would miss free slots.
+  /// Number of gates asked for a free slot before the request queues at the
+  /// least busy one. An ask takes a round trip within a region. An entry gets a
+  /// report of each gate about once a second, so at the start of a wave it
+  /// knows little of their load, and fewer asks would miss free slots.
   static constexpr std::size_t kMaxImmediateAsks = 6;
   /// 60 round trips within a region.
   static constexpr std::chrono::milliseconds kAskTimeout{120};
--- a/src/quarantine/crashtracker.h
+++ b/src/quarantine/crashtracker.h
@@ -47,11 +47,12 @@
 class CrashTracker {
  public:
   static constexpr std::size_t kCrashThreshold = 3;
-  /// Crashes closer to each other count as one event. A replica produces the
-  /// first event of a request after some 25 ms, and crashes later.
+  /// Crashes closer together than this count once. A replica streams the first
+  /// event of a request after some 25 ms, and crashes later.
   static constexpr std::chrono::milliseconds kSameEventWindow{50};
-  /// How long two requests with the same crashes are both still run: the cause
-  /// comes again, the other hardly on the same replica.
+  /// How long two requests with the same crashes may both still run: the one
+  /// that causes them is retried and crashes another replica, on which the
+  /// other is unlikely to run as well.
   static constexpr std::chrono::milliseconds kTieDelay{1000};
   /// Crashes and quarantines are forgotten after this time.
   static constexpr std::chrono::minutes kRetention{10};
@@ -68,7 +69,7 @@
   void Crashed(const CrashReport& report, Time now);
   /// A replica completed the request.
   void Survived(const Fingerprint& request, Time now);
-  /// Another process knows that the request is quarantined.
+  /// Records that another process knows the request as quarantined.
   void Learn(const Fingerprint& request, Time now);
   /// Quarantines the requests for which enough evidence is known and returns
   /// them. Call after reports and about every 100 ms.
--- a/src/quarantine/recentsurvivals.h
+++ b/src/quarantine/recentsurvivals.h
@@ -8,10 +8,10 @@
 
 namespace papayarack::quarantine {
 
-/// Requests that a replica has recently completed, so that they do not crash
-/// every replica that runs them. A direct-mapped cache of constant size (16
-/// KB); an evicted request is only no longer known to be harmless. Thread
-/// safety: none.
+/// Requests that a replica has recently completed, which shows that they do not
+/// crash every replica that runs them. A direct-mapped cache of constant size
+/// (16 KB); eviction only means that a request is no longer known to be
+/// harmless. Thread safety: none.
 class RecentSurvivals {
  public:
   void Add(const Fingerprint& request) { this->EntryOf(request) = request; }
--- a/src/slots/foreignruns.h
+++ b/src/slots/foreignruns.h
@@ -13,9 +13,9 @@
 };
 
 /// Counts the runs at an engine that its owner did not admit: those of the
-/// previous owner, or of processes that know no owner. Otherwise both
-/// owners fill the engine after a change, and requests queue inside it. Thread
-/// safety: none.
+/// previous owner, or of processes that know no owner. Otherwise both owners
+/// fill the engine after a change of owner, and requests queue inside it.
+/// Thread safety: none.
 class ForeignRuns {
  public:
   explicit ForeignRuns(ReportAge age) : age(age) {}
--- a/src/slots/slotallocator.h
+++ b/src/slots/slotallocator.h
@@ -52,9 +52,9 @@
 
   void SetSlots(std::uint32_t slots) { this->slots = slots; }
   /// Sets the number of slots held by runs that were not admitted here. Guards
-  /// against engines that refuse for seconds after all processes were killed at
-  /// once: they still run requests of the former processes, while the new ones
-  /// would consider them empty.
+  /// against engines that refuse requests for seconds after all processes were
+  /// killed at once: they still run requests of the former processes, while the
+  /// new ones would consider them empty.
   void SetForeign(std::uint32_t foreign) { this->foreign = foreign; }
   /// Whether the engine accepts new work.
   void SetOpen(bool open) { this->open = open; }
