--- a/src/batches/batchstore.h
+++ b/src/batches/batchstore.h
@@ -32,9 +32,10 @@
 /// group. Thread safety: none, the loop's thread.
 class BatchStore {
  public:
-  /// Limit of the bytes of uncommitted reports. A report above it is refused
-  /// unless it is the only one. This is an eighth of the 64 MB that control may
-  /// use on a node, and as much as a leader commits in some seconds.
+  /// Limit of the bytes of uncommitted reports. A report that would exceed it
+  /// is refused unless it is the only one. This is an eighth of the 64 MB that
+  /// control may use on a node, and as much as a leader commits in a few
+  /// seconds.
   static constexpr std::size_t kMaxProposedBytes = std::size_t{8} << 20U;
 
   /// Called on the leader with the addresses of the members and the term, for
--- a/src/batches/internal/batchstore.cpp
+++ b/src/batches/internal/batchstore.cpp
@@ -25,8 +25,8 @@
 constexpr std::chrono::milliseconds kClockMargin{60000};
 /// Result deadline of items whose route is currently unknown.
 constexpr std::chrono::milliseconds kUnknownDeadline{20000};
-/// Limits memory use: the log since the last snapshot but one and the result
-/// texts since the last snapshot are kept in memory.
+/// Limits memory use: the log since the second-last snapshot and the result
+/// texts since the last one are kept in memory.
 constexpr std::uint64_t kSnapshotAfterBytes = 1U << 20U;
 
 }  // namespace
@@ -272,7 +272,7 @@
 /// A copy of a batch that is not committed yet waits for the first one. A
 /// caller that gets no answer in time sends the batch again; if each copy
 /// became a log entry of its own, sent to every member, a short delay would
-/// fill the log and the links between members and so persist.
+/// fill the log and the links between members, which prolongs the delay.
 void BatchStore::OnSubmit(StreamId stream, const std::string& body) {
   auto command = DecodeMessage<SubmitBatch>(body);
   if (this->batch_state.Find(command.id) != nullptr) {
@@ -477,11 +477,11 @@
          this->proposed_bytes + report_bytes <= kMaxProposedBytes;
 }
 
-/// Proposes only outcomes that are new. As with batches, a gate that gets no
-/// answer sends its report again, together with items that ended meanwhile.
-/// Items that already have a result are skipped, and copies of uncommitted
-/// outcomes wait for the first one. An outcome is a copy only if it is
-/// identical.
+/// Proposes only outcomes that are new. Like a caller that submits a batch, a
+/// gate that gets no answer sends its report again, together with items that
+/// ended meanwhile. Items that already have a result are skipped, and copies of
+/// uncommitted outcomes wait for the first one. An outcome is a copy only if it
+/// is identical.
 void BatchStore::OnReport(StreamId stream, const std::string& body) {
   if (!this->HasRoom(body.size())) {
     Log(LogLevel::kInfo, "report_refused",
--- a/src/batches/internal/leasescheduler.cpp
+++ b/src/batches/internal/leasescheduler.cpp
@@ -192,7 +192,8 @@
   if (found == this->items.end()) {
     return;
   }
-  // The gate no longer reports it as held, so it may already wait again.
+  // The gate no longer reports the item as held, so it may already be queued
+  // again.
   Entry& entry = found->second;
   if (entry.holder.empty() || entry.holder == gate) {
     if (returned.partial.last_event > entry.partial.last_event) {
--- a/src/batches/internal/resulttexts.cpp
+++ b/src/batches/internal/resulttexts.cpp
@@ -104,8 +104,8 @@
 
 void ResultTexts::Import(std::uint64_t first, std::string_view bytes) {
   const std::uint64_t end = first + bytes.size();
-  // Texts that are only in memory were not archived; `bytes` contains them
-  // again.
+  // Texts that are only in memory count as missing, because `bytes` contains
+  // them too.
   if (this->files_end < first) {
     this->blobs.SkipTo(first);
     this->files_end = first;
--- a/src/batches/leasescheduler.h
+++ b/src/batches/leasescheduler.h
@@ -21,17 +21,18 @@
 /// exists only on the job group's leader and is not replicated: an item may run
 /// twice if its lease expires early, but only its first result is recorded.
 ///
-/// For minutes more items may arrive than can run in the slots that online work
-/// leaves free. First come, first served would then finish every item just
-/// after it was due. So items that can still finish in time go first, by due
-/// time; the others run when there are slots to spare. Thread safety: none.
+/// For minutes at a time, more items may arrive than can run in the slots that
+/// online work leaves free. First come, first served would then finish every
+/// item just after it was due. So items that can still finish in time go first,
+/// by due time; the others run when there are slots to spare. Thread safety:
+/// none.
 class LeaseScheduler {
  public:
   /// The leases of a gate expire after this time without a pull. It covers one
   /// long pull (1 s) and a reconnection.
   static constexpr std::chrono::milliseconds kLeaseTime{2500};
-  /// After a leader change no items are leased for this time, in which the
-  /// gates report what they hold. Otherwise running items would be run twice.
+  /// After a leader change no items are leased for this time, so that the gates
+  /// can report what they hold. Otherwise running items would be run twice.
   static constexpr std::chrono::milliseconds kSettleTime{1500};
   /// Estimated time from lease to result before the first result is known.
   static constexpr std::chrono::milliseconds kInitialRunEstimate{5000};
@@ -53,7 +54,7 @@
   /// holds it must stop it.
   void Remove(const ItemRef& item, Time now);
   /// Renews the leases of a gate for the items in `holding`. Items that it held
-  /// and no longer reports wait again.
+  /// and no longer reports are queued again.
   void Renew(const std::string& gate, std::uint64_t incarnation,
              const std::vector<ItemRef>& holding, Time now);
   /// Returns an item from a gate, with the output of its run.
@@ -64,8 +65,8 @@
                             std::size_t room, Time now);
   /// Whether a waiting item may run on replicas of `service`.
   bool HasWaitingFor(const std::string& service) const;
-  /// Expires the leases of gates that did not renew them; their items wait
-  /// again.
+  /// Expires the leases of gates that did not renew them; their items are
+  /// queued again.
   void Expire(Time now);
   /// Items in `holding` that must not run any more.
   std::vector<ItemRef> ToStop(const std::vector<ItemRef>& holding) const;
@@ -107,8 +108,8 @@
 
   QueueId QueueFor(const Services& services);
   void MoveTo(QueueId queue, const ItemRef& item, Entry& entry);
-  /// The first `max_count` items that `service` may run, either those due at
-  /// `earliest_end` or later (`in_time`) or those due before.
+  /// The first `max_count` items that `service` may run, by due time: with
+  /// `in_time` those due at `earliest_end` or later, else those due before.
   std::vector<ItemRef> FirstWaiting(const std::string& service,
                                     std::size_t max_count, Time earliest_end,
                                     bool in_time) const;
--- a/src/batches/resulttexts.h
+++ b/src/batches/resulttexts.h
@@ -23,8 +23,8 @@
 /// The texts of recorded results. Those since the last snapshot are kept in
 /// memory, older ones in files. Offsets are the same on every member.
 ///
-/// If the state held the texts of all results, and each snapshot held them
-/// again, a small store would run out of memory over a long day. Thread safety:
+/// If the state and each snapshot held the texts of all results, a store with
+/// little memory would run out of it in the course of a day. Thread safety:
 /// none, the loop's thread; only the function that Archive returns may run on
 /// another thread.
 class ResultTexts {
--- a/src/batches/tests/batches_tests.cpp
+++ b/src/batches/tests/batches_tests.cpp
@@ -351,8 +351,9 @@
 }
 
 // Load: twice as many items as the slots can run, for half a minute. First
-// come, first served would finish nearly all of them just too late. If those
-// that can still finish in time go first, as many do so as the slots can run.
+// come, first served would finish nearly all of them just too late. If items
+// that can still finish in time go first, the slots finish as many in time as
+// they can run.
 TEST_CASE("under lasting overload as many items finish in time as possible") {
   constexpr int kRunMs = 5000;
   constexpr int kAllowedMs = 18000;
@@ -391,7 +392,8 @@
       running.emplace_back(now + kRunMs, item);
     }
   }
-  // 120 items arrived in 30 s; the slots can run 92 until the last is due.
+  // 120 items arrived in 30 s; the slots can run 92 before the last item is
+  // due.
   CHECK(ended == 120);
   CHECK(in_time >= 85);
 }
--- a/src/batches/tests/batchstore_tests.cpp
+++ b/src/batches/tests/batchstore_tests.cpp
@@ -17,8 +17,8 @@
 constexpr int kCopies = 4;
 /// The members' loops run in turn, each for this long.
 constexpr milliseconds kSlice{5};
-/// Test timeout. An election takes 0.15 to 1.2 s, so far more means that it
-/// hangs.
+/// Test timeout. An election takes 0.15 to 1.2 s, so a test that takes this
+/// long hangs.
 constexpr milliseconds kTestTimeout{6000};
 /// Shorter than the time after which a leader without a quorum steps down.
 constexpr milliseconds kPause{250};
@@ -207,8 +207,8 @@
   }
 }
 
-// Guards against items that run on after their caller has ended the batch,
-// until the end is committed.
+// Guards against items that keep running after their caller has ended the
+// batch, until the EndBatch command is committed.
 TEST_CASE("a request to end a batch stops its items before it is committed") {
   Pair pair;
   for (StoreMember& member : pair.Members()) {
@@ -246,7 +246,7 @@
   pair.RunUntil([&] { return pulls.size() == 1; });
   REQUIRE(pulls.back().items.size() == 1);
   const ItemRef other{"b", pulls.back().items.front().spec.id};
-  // The gate returns `other`, which waits again.
+  // The gate returns `other`, which is queued again.
   pull(0, {held});
   pair.RunLeaderAlone(kSlice);
   leader.Ask("/jobs/end", EndBatch{"b"}, codes);
--- a/src/consensus/internal/durablelog.cpp
+++ b/src/consensus/internal/durablelog.cpp
@@ -149,8 +149,8 @@
 
 void DurableLog::WriteSnapshotFile(const SnapshotMeta& meta,
                                    std::string_view state) {
-  // Encodes a SnapshotContent without another copy of the state, so that on a
-  // small VM a snapshot does not need several times its size.
+  // Encodes a SnapshotContent without another copy of the state, because a
+  // small VM lacks the memory for several copies of it.
   SnapshotMeta sized = meta;
   sized.state_bytes = state.size();
   constexpr std::uint32_t kFields = 2;
--- a/src/consensus/internal/raftcore.cpp
+++ b/src/consensus/internal/raftcore.cpp
@@ -271,8 +271,8 @@
   const auto* answer = std::get_if<VoteResponse>(&message.body);
   if (message.term < this->hard.term) {
     // The refusal tells a deposed leader, or a member that missed terms, the
-    // current term. A leader of an earlier term must get one for append
-    // requests and snapshot offers alike, or this member would never catch up.
+    // current term. A leader of an earlier term must get a refusal of append
+    // requests and of snapshot offers, or this member would never catch up.
     if (std::holds_alternative<AppendRequest>(message.body) ||
         std::holds_alternative<SnapshotOffer>(message.body)) {
       this->Send(message.from,
@@ -392,8 +392,8 @@
   this->last_leader_contact = this->now;
   this->ResetElectionTimer();
   if (!this->AcceptEntries(request)) {
-    // Committed entries are the same on all members; after them, any entry may
-    // differ.
+    // Committed entries are the same on all members; any entry after them may
+    // differ, so the leader retries from there.
     const bool gap = request.prev_index > this->raft_log.LastIndex();
     const Index retry_after =
         gap ? this->raft_log.LastIndex() : this->commit_index;
@@ -610,7 +610,8 @@
   }
   const std::size_t left =
       this->options.max_inflight_bytes - peer.inflight_bytes;
-  // An append carries at least one entry, whatever its size.
+  // An append carries at least one entry, whatever its size, so the next entry
+  // must fit.
   if (this->raft_log.PayloadBytesAt(peer.next) > left) {
     return std::nullopt;
   }
@@ -672,8 +673,8 @@
   Progress& peer = found->second;
   if (this->now - peer.last_heard >= this->options.election) {
     // The member was unreachable and is back: what was sent meanwhile is lost,
-    // and the grown delay belongs to a connection that is gone. On a slow link
-    // responses are late but have no such gaps.
+    // and the resend delay grew on a connection that no longer exists. A slow
+    // link delays responses but leaves no such gap between them.
     peer.resend_delay = {};
   }
   peer.last_heard = this->now;
@@ -697,10 +698,10 @@
     peer.next =
         std::max(peer.match + 1, std::min(response.match + 1, peer.next));
   }
-  // Any other refusal is of an append sent before the probe in flight: a
-  // refusal of the probe itself names an index before the probe. If one of 16
-  // appends of 400 KB is lost, the follower refuses 15; answering each would
-  // send 15 appends (12 MB).
+  // Any other refusal is ignored, because it answers an append sent before the
+  // probe in flight: a refusal of the probe itself names an index before the
+  // probe. If one of 16 appends of 400 KB is lost, the follower refuses 15;
+  // answering each would send 15 appends (12 MB).
   this->ConfirmReads();
   if (this->current_role != RaftRole::kLeader) {
     return;
@@ -748,8 +749,8 @@
 }
 
 void RaftCore::Persisted(const RaftBatch& batch) {
-  // A batch written before a truncation says nothing about entries appended
-  // again after it.
+  // The sync of a batch taken before a truncation does not cover the entries
+  // appended at the same indexes after it.
   const bool current = batch.number >= this->truncated_in_batch;
   if (current && this->raft_log.TermAt(batch.last_index) == batch.last_term) {
     this->persisted_index = std::max(this->persisted_index, batch.last_index);
--- a/src/consensus/raftcore.h
+++ b/src/consensus/raftcore.h
@@ -39,7 +39,8 @@
   /// Maximum wait for an acknowledgement before entries are sent again. The
   /// wait starts at two heartbeats plus the transfer time of the bytes in
   /// flight, and doubles with each resend. 1 MB (max_append_bytes) in 3.2 s is
-  /// 2.6 Mbit/s, a tenth of the slowest entry's link (30 Mbit/s).
+  /// 2.6 Mbit/s, so an append arrives in time even with only a tenth of the
+  /// slowest VM's link (30 Mbit/s).
   Duration max_resend_delay{std::chrono::milliseconds(3200)};
   std::size_t max_uncommitted_bytes = 64U << 20U;
   std::uint64_t seed = 1;
@@ -119,7 +120,7 @@
   /// majority of the old voters then shares a member with any majority of the
   /// new ones, although two members differ. Throws like ProposeMembers.
   ProposalPosition ProposeReplacement(MemberId lost, MemberId replacement);
-  /// Requests that a quorum confirms a read. The outcome is in a later
+  /// Requests confirmation of a read by a quorum. The outcome is in a later
   /// RaftReady.
   void RequestRead(std::uint64_t token, Time now);
   /// Reports that all writes of this batch and of those before it are synced.
--- a/src/consensus/tests/raftcore_tests.cpp
+++ b/src/consensus/tests/raftcore_tests.cpp
@@ -375,9 +375,8 @@
 }
 
 // Guards against a follower that delays a commit or a leadership transfer for
-// seconds after it is reachable again: while it was unreachable the resend
-// delay has grown, and the leader keeps waiting that long on the new
-// connection.
+// seconds after it is reachable again: the resend delay grew while it was
+// unreachable, and the leader still waits that long on the new connection.
 TEST_CASE("a follower that was unreachable gets missing entries at once") {
   RaftCluster cluster(3);
   cluster.RunWithoutFaults(100);
@@ -386,8 +385,8 @@
   const MemberId follower = leader == 1 ? 2 : 1;
   CutOff(cluster, follower);
   REQUIRE(cluster.Propose(leader, "a"));
-  // Unreachable for 2, 2.6 and 4 s, which end at different points of the resend
-  // delay.
+  // Unreachable for 2, 2.6 and 4 s, so that it returns at different points of
+  // the wait before a resend.
   const int rounds = GENERATE(100, 130, 200);
   cluster.RunWithoutFaults(rounds);
   cluster.cuts.clear();
@@ -397,9 +396,9 @@
 }
 
 // Guards against a new leader that fills its link with entries that its
-// followers hold: a follower without recorded progress counts as silent since
-// the epoch, so its first entry is taken for lost and the log is sent from the
-// start, up to 1 MB.
+// followers already hold: a follower without recorded progress counts as silent
+// since the epoch, so its first entry is taken for lost and the log is sent
+// from the start, up to 1 MB.
 TEST_CASE(
     "a new leader sends only its first entry, and earlier ones after two "
     "heartbeats") {
@@ -431,7 +430,8 @@
   CHECK(old_entries_sent() == 0);
   core.Tick(late + options.heartbeat);
   CHECK(old_entries_sent() == 0);
-  // To both followers, as the first entry may be lost.
+  // The old entry is sent to both followers, because the append with the
+  // leader's first entry may be lost.
   core.Tick(late + 2 * options.heartbeat);
   CHECK(old_entries_sent() == 2);
 }
@@ -629,8 +629,8 @@
   FormatFolder(files, {3, "kivu"}, {}, 1);
   CHECK(ReadIdentity(files)->member == 3);
   // Guards against acknowledged entries that are lost after a disk was
-  // replaced: the new, empty disk gets the old member id and votes for a log
-  // that lacks the entries.
+  // replaced: the member runs on an empty disk under its old id and votes for a
+  // candidate whose log lacks the entries.
   SECTION("is kept: the folder cannot be formatted again") {
     CHECK_THROWS_AS(FormatFolder(files, {3, "kivu"}, {}, 1), ResultError);
   }
--- a/src/jobs/internal/jobleasing.cpp
+++ b/src/jobs/internal/jobleasing.cpp
@@ -68,10 +68,10 @@
                                                               : first_due;
 }
 
-/// Returns the next item to lease without leasing it; only skips items that
-/// have ended meanwhile. An item whose earlier attempt ended without a result
-/// goes only to a holder without another such item: otherwise one item that
-/// crashes its upstream could take down gate after gate.
+/// Returns the next item to lease without leasing it. Skips items that are no
+/// longer pending and changes nothing else. An item whose earlier attempt ended
+/// without a result goes only to a holder without another such item: otherwise
+/// one item that crashes its upstream could take down gate after gate.
 std::optional<std::uint32_t> JobStore::PickItem(Job& job,
                                                 bool holder_has_suspect) {
   const auto pending = static_cast<std::uint8_t>(ItemState::kPending);
--- a/src/replication/internal/replicatedgroup.cpp
+++ b/src/replication/internal/replicatedgroup.cpp
@@ -113,8 +113,8 @@
 }
 
 /// Transfers leadership before the writer's queue is full, because Enqueue
-/// would then block the loop and everything that runs on it. A leader writes
-/// more than a follower.
+/// would then block the loop and everything that runs on it. The transfer
+/// relieves the disk, as a follower writes less than a leader.
 void ReplicatedGroup::TransferWhenDiskStalls() {
   const Time now = this->environment.now();
   const std::uint64_t waiting = this->writer->Waiting();
@@ -300,8 +300,8 @@
 }
 
 void ReplicatedGroup::MaybeSnapshot() {
-  // At least as many log bytes as the last snapshot's state, so that saving the
-  // whole state does not cost more than the commands themselves.
+  // The log must grow by at least the state size of the last snapshot, so that
+  // saving the whole state does not cost more than the commands themselves.
   const std::uint64_t due =
       std::max(this->limits.snapshot_after_bytes, this->snapshot_bytes);
   if (this->snapshot_under_way || this->fetch_under_way ||
--- a/src/replication/membershipplanner.h
+++ b/src/replication/membershipplanner.h
@@ -46,8 +46,8 @@
 struct PromoteLearner {
   consensus::MemberId id = 0;
 };
-/// Replaces a voter that lost its disk by the learner that runs at its address
-/// under a new id.
+/// Replaces a voter that lost its disk with the learner that runs at its
+/// address under a new id.
 struct ReplaceLostVoter {
   consensus::MemberId lost = 0;
   consensus::MemberId replacement = 0;
@@ -60,16 +60,16 @@
 
 /// A member that was silent for this long is treated as dead. Longer than two
 /// elections (0.6 to 1.2 s each), and short enough for a replaced VM to vote
-/// again within 4.6 s, the shortest time allowed, of which catching up takes
-/// one second.
+/// again within 4.6 s, the shortest time allowed for it; one second of that is
+/// needed to catch up.
 inline constexpr std::chrono::milliseconds kDeadAfter{2500};
 
 /// Plans the next membership change to repair a group. A member with a wiped
-/// disk is replaced by the new identity at its address, and a VM that is gone
-/// by another. A dead or leaving voter is removed only when `wanted` live
-/// voters remain: with fewer, the next loss could leave no quorum, and a dead
-/// member may come back. `self` is the leader, which removes itself last.
-/// Thread safety: any thread.
+/// disk is replaced by the new identity at its address, and a member whose VM
+/// is gone by a candidate on another VM. A dead or leaving voter is removed
+/// only when `wanted` live voters remain: with fewer, the next loss could leave
+/// no quorum, and a dead member may come back. `self` is the leader, which
+/// removes itself last. Thread safety: any thread.
 MembershipChange PlanMembership(std::span<const MemberHealth> members,
                                 std::span<const Candidate> candidates,
                                 const GroupSize& size,
--- a/src/replication/replicatedgroup.h
+++ b/src/replication/replicatedgroup.h
@@ -154,7 +154,7 @@
   std::map<consensus::Index, PendingProposal> pending_proposals;
   /// Listening addresses of members that have sent messages. A learner receives
   /// the first part of the log before any member list. Without these addresses
-  /// it could not acknowledge it and would be treated as dead.
+  /// it could not acknowledge that part and would be treated as dead.
   std::map<consensus::MemberId, std::string> sender_addresses;
   std::vector<ReadDone> reads_next;  ///< Wait for the next confirmation.
   /// Wait for the confirmation in progress.
--- a/src/storage/blobstore.h
+++ b/src/storage/blobstore.h
@@ -38,7 +38,8 @@
   /// Truncates the store at `length`; the replayed log appends the rest again.
   /// Throws ResultError(kStorageDamaged) if fewer bytes are on disk.
   void Open(std::uint64_t length);
-  /// Bytes on disk, also before Open; the part that a replaced member can keep.
+  /// Logical end of the bytes on disk, also before Open; a replaced member can
+  /// keep the bytes up to there.
   std::uint64_t LengthOnDisk() const;
   BlobRef Append(std::string_view bytes);
   /// Plans an append that does not block the owner: any one thread calls
--- a/src/storage/internal/segmentedlog.cpp
+++ b/src/storage/internal/segmentedlog.cpp
@@ -53,14 +53,14 @@
   return {checksum_matches, number, batch, record};
 }
 
-/// Whether a record of a sync later than that of the record at `offset`
-/// follows. The disk keeps or loses each unsynced write independently, so an
-/// intact record of the same sync may follow a hole: that is a torn tail and
-/// may be truncated. An intact record of a later sync proves that the bytes at
-/// `offset` had been synced: that is damage, and truncating it would lose
-/// acknowledged entries. Each record stores the number of the first record of
-/// its sync. Without this check a member either refuses to start after a power
-/// loss or loses acknowledged entries.
+/// Whether an intact record of a later sync follows the unreadable record at
+/// `offset`. The disk keeps or loses each unsynced write independently, so an
+/// intact record of the same sync may follow a hole: then the rest is a torn
+/// tail and may be truncated. An intact record of a later sync proves that the
+/// bytes at `offset` had been synced and were damaged later; truncating there
+/// would lose acknowledged entries. Each record stores the number of the first
+/// record of its sync. Without this check a member either refuses to start
+/// after a power loss or loses acknowledged entries.
 bool SyncedRecordAfter(std::string_view bytes, std::size_t offset,
                        std::uint64_t last_number) {
   constexpr std::uint64_t kMaxNumberGap = 1U << 20U;
