--- a/src/control/internal/controlserver.cpp
+++ b/src/control/internal/controlserver.cpp
@@ -189,8 +189,8 @@
     }
   }
 
-  /// Runs on the event loop and log writer threads; the addresses are refreshed
-  /// by the former.
+  /// Called on the event loop thread, which refreshes the addresses, and on the
+  /// log writer thread.
   void SendMessages(const std::vector<consensus::RaftMessage>& messages) {
     for (const consensus::RaftMessage& message : messages) {
       std::string address;
@@ -400,8 +400,8 @@
   void On(const PeerCancelled& cancelled) {
     this->reads.erase(cancelled.stream);
   }
-  void On(const WriterProgressed&) {
-  }  // Wakes the thread, which then calls ProcessWriterProgress.
+  /// Only wakes the event loop thread, which then calls ProcessWriterProgress.
+  void On(const WriterProgressed&) {}
   void On(const PlatformList& list) {
     this->fleet.SetPlatformLeaving(list.leaving);
   }
--- a/src/control/tests/control_tests.cpp
+++ b/src/control/tests/control_tests.cpp
@@ -16,8 +16,8 @@
 /// Returns a loopback address for this process alone. Guards against "Address
 /// already in use" when other tests run in parallel: members must know the
 /// ports of each other before they start, so a free port is found first and
-/// bound later. In between another process could take it, also as the source
-/// port of a connection, which uses 127.0.0.1.
+/// bound later. In between, another process could take it, even as the source
+/// port of an outgoing connection; those use 127.0.0.1.
 std::string OwnHost() {
   const int process = getpid();
   const auto part = [process](int shift) {
--- a/src/entry/fleetview.h
+++ b/src/entry/fleetview.h
@@ -23,8 +23,8 @@
 };
 
 /// The documents and gates known to one entry, shared by its HTTP threads. A
-/// lock around the single-threaded cores costs less than a hop through a ring
-/// for each routing decision. Thread safety: any thread.
+/// lock around the single-threaded cores costs less than passing each routing
+/// decision to another thread through a ring. Thread safety: any thread.
 class FleetView {
  public:
   explicit FleetView(const RouterOptions& options) : router(options) {}
--- a/src/entry/internal/callercontext.cpp
+++ b/src/entry/internal/callercontext.cpp
@@ -38,8 +38,8 @@
 CallerContext ReadCaller(const httplib::Request& request) {
   CallerContext caller;
   caller.request_id = ReadHeader(request, header::kRequestId);
-  // An id sent by the caller only becomes a prefix: two callers may send the
-  // same one.
+  // An id sent by the caller is only used as a prefix, because two callers may
+  // send the same one.
   caller.request_id =
       NewId(caller.request_id.empty() ? "req-" : caller.request_id + "-");
   caller.team = ReadHeader(request, header::kTeam);
--- a/src/entry/internal/elasticpool.h
+++ b/src/entry/internal/elasticpool.h
@@ -17,9 +17,9 @@
 /// A pool with one thread per served HTTP connection: threads start on demand,
 /// up to a limit, and end when idle. The pool of the HTTP library has a fixed
 /// size and an unbounded queue, so long streams and idle connections would
-/// delay new callers without any sign of it. When all threads are busy the
-/// accepting thread waits, and connections queue in the bounded backlog of the
-/// kernel. Thread safety: as the library calls it.
+/// silently delay new callers. When all threads are busy the accepting thread
+/// waits, and connections queue in the bounded backlog of the kernel. Thread
+/// safety: as the library calls it.
 class ElasticPool : public httplib::TaskQueue {
  public:
   /// `busy` receives the number of connections being served, for other threads
--- a/src/entry/internal/onlineapi.cpp
+++ b/src/entry/internal/onlineapi.cpp
@@ -177,8 +177,8 @@
     context.control.Run(statemachine::EndClaim{std::move(end)},
                         kControlCallTimeout);
   } catch (const ResultError& error) {
-    // The claim stays running and becomes unknown at its deadline, which is
-    // safe.
+    // The claim stays in the running state and becomes unknown at its deadline,
+    // which is safe: the key is never granted again.
     Log(LogLevel::kWarn, "claim_end_lost",
         {{"key", claim->key}, {"reason", error.what()}});
   }
--- a/src/entry/internal/routercore.cpp
+++ b/src/entry/internal/routercore.cpp
@@ -71,11 +71,12 @@
       continue;
     }
     const bool closed = gate.aside && now < gate.aside_until;
-    // Readmitted by trial requests: one at a time until one is answered.
+    // A gate set aside is readmitted by trial requests, sent one at a time
+    // until one is answered.
     const bool trial_running = gate.aside && gate.in_flight > 0;
     (closed || trial_running ? aside : open).push_back(name);
   }
-  // If all gates are set aside, one of them is better than none.
+  // If no other gate is left, one that is set aside is better than none.
   return open.empty() ? aside : open;
 }
 
@@ -201,8 +202,8 @@
       aside += other.aside ? 1 : 0;
     }
   }
-  // If all gates fail, setting them aside would only move the load onto fewer
-  // gates.
+  // Limits how many gates are set aside: if all of them fail, setting them
+  // aside would only move the load onto fewer gates.
   const auto allowed = static_cast<std::size_t>(this->options.max_set_aside *
                                                 static_cast<double>(peers));
   if (gate.aside || aside < allowed) {
--- a/src/entry/tests/routercore_tests.cpp
+++ b/src/entry/tests/routercore_tests.cpp
@@ -105,8 +105,9 @@
     }
     CHECK(chosen > 10);
   }
-  // Guards against a failure of all gates that takes the whole service away:
-  // every gate fails a few times and is judged without regard to the others.
+  // Guards against setting all gates aside, which would make the service
+  // unavailable: every gate fails a few times, and the number already set aside
+  // is not considered.
   SECTION("never sets aside more than a fraction of its gates") {
     for (int i = 0; i < 10; ++i) {
       for (const char* name : {"g0", "g1", "g2", "g3"}) {
--- a/src/gate/gatecore.h
+++ b/src/gate/gatecore.h
@@ -27,9 +27,9 @@
   /// Items pulled in advance, beyond those that run.
   std::size_t pull_ahead = 8;
   /// Minimum number of upstream steps between batch starts while online work
-  /// runs. The prompt of an item lengthens the step that processes it, for
-  /// every answer in progress: beyond one step in twenty this raises the 95th
-  /// percentile of the time between tokens.
+  /// runs. The prompt of an item lengthens the step that processes it and so
+  /// delays a token of every answer in progress. If more than one step in
+  /// twenty is delayed, the 95th percentile of the time between tokens rises.
   std::int64_t steps_per_batch_start = 20;
 };
 
--- a/src/gate/internal/gatecore.cpp
+++ b/src/gate/internal/gatecore.cpp
@@ -201,9 +201,9 @@
   }
 }
 
-/// Minimum time between batch starts. A single online answer at this upstream
-/// is a small part of all online answers of the service, so that with few of
-/// them items may start more often.
+/// Minimum time between batch starts. It is shorter while few online requests
+/// run here: they are a small part of all online answers of the service, so
+/// items may delay them more often.
 Duration GateCore::BatchStartInterval() const {
   const std::int64_t online = std::min(
       static_cast<std::int64_t>(this->running_online), kOnlineForFullInterval);
--- a/src/gate/internal/gateserver.cpp
+++ b/src/gate/internal/gateserver.cpp
@@ -650,8 +650,7 @@
     this->report.address = this->upstream_settings.gate_listen;
     this->report.incarnation = this->incarnation;
     this->report.revision = this->revision;
-    // A gate whose upstream is down is not leaving, as the upstream may
-    // recover.
+    // Not set when only the upstream is down, as it may recover.
     this->report.leaving = this->leaving;
     this->report.running =
         static_cast<std::uint32_t>(this->core.RunningOnline());
@@ -735,8 +734,8 @@
     }
   }
 
-  /// Waits for the next heartbeat, which is sent at once when the gate starts
-  /// to leave.
+  /// Waits until the next heartbeat is due. Returns early when the gate starts
+  /// to leave, so that this is reported at once.
   void SleepUntilHeartbeat() {
     constexpr std::chrono::milliseconds kStep{20};
     const bool was_leaving = this->leaving;
--- a/src/gate/tests/gatefuzz_tests.cpp
+++ b/src/gate/tests/gatefuzz_tests.cpp
@@ -116,7 +116,7 @@
     for (const GateAction& action : actions) {
       if (const auto* start = std::get_if<StartWork>(&action)) {
         RC_ASSERT(this->running.count(start->id) ==
-                  0U);  // Never run twice at a time.
+                  0U);  // Never runs twice at the same time.
         RC_ASSERT(this->refused.count(start->id) ==
                   0U);  // Refused work never runs.
         RC_ASSERT(this->dropped.count(start->id) ==
--- a/src/gate/upstreamclient.h
+++ b/src/gate/upstreamclient.h
@@ -25,10 +25,10 @@
 };
 
 enum class UpstreamEnd : std::uint8_t {
-  kComplete,   ///< The HTTP response ended regularly.
+  kComplete,   ///< The HTTP response ended normally.
   kNotSent,    ///< No connection: not run.
   kUnstarted,  ///< Cancelled before connecting: not run.
-  kBroken,     ///< Cut, timed out or cancelled: it may have run.
+  kBroken,     ///< Interrupted, timed out or cancelled: it may have run.
 };
 
 /// Called on worker threads; for each call in the order head, bytes, end. The
--- a/src/global/boundedring.h
+++ b/src/global/boundedring.h
@@ -36,8 +36,8 @@
   }
 
   /// Adds, blocking while the ring is full. Returns false when the ring is
-  /// closed. Never call it from a thread that runs a core, as it must not
-  /// block.
+  /// closed. Never call it from a thread that runs a core, as such a thread
+  /// must not block.
   bool Push(T element) {
     {
       std::unique_lock lock(this->mutex);
--- a/src/global/internal/heap.cpp
+++ b/src/global/internal/heap.cpp
@@ -10,7 +10,8 @@
 constexpr int kMmapThresholdBytes = 64 * 1024;
 /// Free memory kept at the top of the heap.
 constexpr int kTrimThresholdBytes = 128 * 1024;
-/// One suffices: the event loop's thread does nearly all allocations.
+/// Number of malloc arenas. One suffices, because the event loop's thread does
+/// nearly all allocations.
 constexpr int kMaxArenas = 1;
 
 }  // namespace
--- a/src/global/listen.h
+++ b/src/global/listen.h
@@ -8,9 +8,10 @@
 
 namespace papayarack {
 
-/// Binds and listens with the maximum backlog: connections of a burst beyond it
-/// would be established a second late. Throws ResultError(kBadInput) when the
-/// address cannot be bound. Thread safety: the acceptor's owner.
+/// Binds and listens with the maximum backlog: connections of a burst that
+/// exceeds the backlog are established a second late. Throws
+/// ResultError(kBadInput) when the address cannot be bound. Thread safety: the
+/// acceptor's owner.
 inline void ListenOn(asio::ip::tcp::acceptor& acceptor,
                      const Endpoint& address) {
   try {
--- a/src/global/resultcode.h
+++ b/src/global/resultcode.h
@@ -30,7 +30,7 @@
   kNotReady = 206,
   kDeadlineBeforeStart = 207,
   kStorageFull = 208,
-  // 3xx: it may have run; the outcome is not known or was cut.
+  // 3xx: it may have run; the outcome is unknown or the answer is truncated.
   kUnknownOutcome = 300,
   kUpstreamFailed = 301,
   kDeadlineWhileRunning = 302,
--- a/src/global/settings.h
+++ b/src/global/settings.h
@@ -59,8 +59,8 @@
   std::chrono::milliseconds lease{8000};
   std::chrono::milliseconds shutdown_grace{30000};
   std::chrono::milliseconds drain{
-      1000};  ///< entry: time of serving while unhealthy, until the balancer
-              ///< notices.
+      1000};  ///< entry: how long it still serves while reporting unhealthy, so
+              ///< that the load balancer notices.
   std::size_t max_body_bytes = 64U << 20U;
   std::size_t max_line_bytes = 1U << 20U;
   std::size_t max_job_items = 63000;
--- a/src/global/timepoint.h
+++ b/src/global/timepoint.h
@@ -18,8 +18,8 @@
 using WallMillis = std::int64_t;
 
 /// Time since boot, including time suspended. The steady clock stops while a VM
-/// is suspended, so after a suspension of seconds a leader would still count
-/// its quorum as just heard from. Thread safety: any thread.
+/// is suspended, so a leader that was suspended for seconds would still regard
+/// its last contact with the quorum as recent. Thread safety: any thread.
 inline Time MonotonicNow() {
   timespec now{};
   clock_gettime(CLOCK_BOOTTIME, &now);
--- a/src/http/internal/headparser.h
+++ b/src/http/internal/headparser.h
@@ -11,9 +11,9 @@
 
 namespace papayarack::http {
 
-/// The incremental HTTP/1.1 parser of http_parser, with header fields collected
-/// before on_head. It stops after each message, so that the bytes of the next
-/// one are never parsed as part of it. Thread safety: none.
+/// Wraps the incremental HTTP/1.1 parser http_parser and collects the header
+/// fields before on_head. It stops after each message, so that the bytes of the
+/// next one are never parsed as part of it. Thread safety: none.
 class HeadParser {
  public:
   enum class Kind { kRequest, kResponse };
--- a/src/http/internal/httpclient.cpp
+++ b/src/http/internal/httpclient.cpp
@@ -202,8 +202,9 @@
     link->sent_any = true;
     asio::async_write(link->socket, asio::buffer(link->request),
                       [link](std::error_code, std::size_t) {
-                        // A failed write also ends the read, which first
-                        // returns any response that the peer sent before.
+                        // Read handles the error: the read fails as well, after
+                        // it has returned any response that the peer sent
+                        // before.
                       });
   }
 
--- a/src/http/internal/httpserver.cpp
+++ b/src/http/internal/httpserver.cpp
@@ -149,9 +149,9 @@
     if (still == this->connections.end()) {
       return;
     }
-    // The read stays pending while a response is being sent, as its end reports
-    // that the client disconnected. Reading pauses for a client that sends too
-    // much ahead.
+    // A read stays pending while a response is being sent, to detect that the
+    // client disconnected. Reading pauses when a client pipelines too many
+    // bytes.
     if (connection->unparsed.size() < kMaxPipelinedBytes) {
       this->Read(id, connection);
     }
--- a/src/http/tests/http_tests.cpp
+++ b/src/http/tests/http_tests.cpp
@@ -256,10 +256,10 @@
       CHECK(record.body == "ok");
       CHECK(server.connections == 1);
     }
-    // A request that cannot be repeated fails although its peer is available.
-    // The peer loses power and restarts at the same address; the request is
-    // sent on a connection from before, kept although the restart is known, and
-    // is reset.
+    // Guards against the failure of a request that cannot be repeated although
+    // its peer is available: the peer loses power and restarts at the same
+    // address, the client keeps its old connections although it knows of the
+    // restart, and the request is sent on one of them, which the peer resets.
     SECTION("the connection is not reused after a known restart of the peer") {
       client.CloseIdle({"127.0.0.1", 1});
       client.CloseIdle(server.address());
@@ -303,10 +303,10 @@
     call(nobody);
     CHECK(record.end == HttpEnd::kNotSent);
   }
-  // A caller gets the response to another call. A faulty engine answers a
-  // request twice on a pooled connection, and the second response arrives where
-  // that of the next request is expected, if responses are matched by order
-  // only.
+  // Guards against a caller that gets the response to another call: a faulty
+  // engine answers a request twice on a pooled connection, and the second
+  // response is taken for that of the next request because responses are
+  // matched by order only.
   SECTION("a response to another request is skipped") {
     RawServer server(
         context,
--- a/src/roles/internal/rolesmodule.cpp
+++ b/src/roles/internal/rolesmodule.cpp
@@ -104,9 +104,9 @@
   }
 }
 
-/// Shuts down gracefully, so that replacing a process cuts no request. Each
-/// component announces that it leaves, refuses new work, finishes its current
-/// work and stops, in the order in which requests flow.
+/// Shuts down gracefully, so that replacing a process interrupts no request.
+/// Each component announces that it leaves, refuses new work, finishes its
+/// current work and stops, in the order in which requests flow.
 void StopParts(Process& process) {
   const std::chrono::milliseconds grace = process.settings.shutdown_grace;
   Log(LogLevel::kInfo, "stopping");
