--- a/bench/corebench.cpp
+++ b/bench/corebench.cpp
@@ -227,7 +227,7 @@
     fleet::FleetTable table(std::chrono::seconds(10));
     const double before = HeapBytes();
     for (const auto& side : sides) {
-      table.Heard(side.report, Time{});
+      table.OnHeartbeat(side.report, Time{});
     }
     const double heap = (HeapBytes() - before) / static_cast<double>(members);
     control::Heartbeat beat;
@@ -235,7 +235,7 @@
     const std::string bytes = EncodeMessage(beat);
     const double nanos = NanosEach(20000, [&](std::size_t i) {
       const auto heard = DecodeMessage<control::Heartbeat>(bytes);
-      table.Heard(heard.report, Time(Duration(i)));
+      table.OnHeartbeat(heard.report, Time(Duration(i)));
       EncodeMessage(control::HeartbeatReply{});
     });
     control::HeartbeatReply list;
